--- a/crates/cli/src/commands/state.rs
+++ b/crates/cli/src/commands/state.rs
@@ -79,7 +79,7 @@
 }
 
 fn write_group(out: &mut String, group: &GroupSummary) -> std::fmt::Result {
-    let home = group.home.as_ref().map_or("nobody", InstanceId::as_str);
+    let home = group.owner.as_ref().map_or("nobody", InstanceId::as_str);
     let Some(schedule) = &group.schedule else {
         return writeln!(
             out,
--- a/crates/core/examples/engines_model/arrivals.rs
+++ b/crates/core/examples/engines_model/arrivals.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bluebellstage_core::Tokens;
-use bluebellstage_core::engines::PermitAsk;
+use bluebellstage_core::engines::PermitRequest;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -73,7 +73,7 @@
 pub struct Arrival {
     pub at: u64,
     pub node: usize,
-    pub ask: PermitAsk,
+    pub ask: PermitRequest,
     pub answer: u64,
 }
 
--- a/crates/core/src/engines/candidates.rs
+++ b/crates/core/src/engines/candidates.rs
@@ -1,4 +1,4 @@
-//! Which group to ask for an adapter.
+//! Selection of the engine group for a request.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,37 +9,38 @@
 use super::targets::{ListedGroup, Targets};
 use super::view::GroupView;
 
-/// Pressure, in thousandths of a group's places, above which another group that holds the adapter
-/// is weighed.
-const SPILL_PRESSURE: u64 = 1_250;
+/// Utilization, in thousandths of a group's batch slots, from which another group that holds the
+/// adapter is considered.
+const SPILL_UTILIZATION: u64 = 1_250;
 
-/// Pressure above which the adapter is worth a load in another group.
-const COPY_PRESSURE: u64 = 2_500;
+/// Utilization, in thousandths, from which loading the adapter in another group is considered.
+const COPY_UTILIZATION: u64 = 2_500;
 
-/// How much less pressed the other group must be.
-const SPILL_GAIN: u64 = 500;
+/// Minimum difference in utilization, in thousandths, for another group to be chosen.
+const MIN_SPILL_GAIN: u64 = 500;
 
-/// What the choice depends on.
+/// The state that the choice of a group depends on.
 #[derive(Debug)]
 pub(super) struct Candidates<'a> {
     pub(super) targets: &'a Targets,
     pub(super) views: &'a BTreeMap<GroupId, GroupView>,
-    /// Groups that this ask need not try again yet.
-    pub(super) tried: &'a BTreeSet<GroupId>,
+    /// Groups to which the request has been sent already; cleared when none is left to try.
+    pub(super) tried_groups: &'a BTreeSet<GroupId>,
     pub(super) now: Time,
-    pub(super) own: &'a Ownership,
+    pub(super) ownership: &'a Ownership,
 }
 
-/// The group to ask.
+/// The chosen group.
 #[derive(Debug)]
 pub(super) struct Choice {
     pub(super) group: GroupId,
-    /// It would be another if all homes could be reached.
-    pub(super) stray: bool,
+    /// Whether another group would be chosen if all owners were reachable.
+    pub(super) is_fallback: bool,
 }
 
 impl Candidates<'_> {
-    /// The group to ask next; none if no group with a staying engine is left to try.
+    /// Returns the group to send the request to; `None` if no group with an engine that is not
+    /// leaving is left to try.
     pub(super) fn choose(
         &self,
         placement: Placement,
@@ -47,31 +48,35 @@
         adapter: &AdapterRef,
         random: u64,
     ) -> Option<Choice> {
-        let all = self.of_model(model);
+        let all = self.groups_of_model(model);
         let preferred = self.pick(&all, placement, adapter, random)?;
         if all
             .iter()
-            .all(|id| !self.tried.contains(*id) && self.is_willing(id))
+            .all(|id| !self.tried_groups.contains(*id) && self.is_available(id))
         {
             return Some(Choice {
                 group: preferred.clone(),
-                stray: false,
+                is_fallback: false,
             });
         }
         let untried: Vec<&GroupId> = all
             .into_iter()
-            .filter(|id| !self.tried.contains(*id))
+            .filter(|id| !self.tried_groups.contains(*id))
             .collect();
-        let willing: Vec<&GroupId> = untried
+        let available: Vec<&GroupId> = untried
             .iter()
             .copied()
-            .filter(|id| self.is_willing(id))
+            .filter(|id| self.is_available(id))
             .collect();
-        let left = if willing.is_empty() { untried } else { willing };
-        let group = self.pick(&left, placement, adapter, random)?;
+        let candidates = if available.is_empty() {
+            untried
+        } else {
+            available
+        };
+        let group = self.pick(&candidates, placement, adapter, random)?;
         Some(Choice {
             group: group.clone(),
-            stray: group != preferred,
+            is_fallback: group != preferred,
         })
     }
 
@@ -89,90 +94,104 @@
                 let index = usize::try_from(random % count).unwrap_or_default();
                 groups.get(index).copied()
             }
-            Placement::LeastLoaded => groups.iter().copied().min_by_key(|id| self.pressure(id)),
-            Placement::HashOnly => groups.iter().copied().max_by_key(|id| rank(adapter, id)),
+            Placement::LeastLoaded => groups
+                .iter()
+                .copied()
+                .min_by_key(|id| self.utilization_permille(id)),
+            Placement::HashOnly => groups
+                .iter()
+                .copied()
+                .max_by_key(|id| rendezvous_rank(adapter, id)),
         }
     }
 
-    /// Whether any group of the model has a staying engine.
-    pub(super) fn any(targets: &Targets, model: &BaseModel) -> bool {
+    /// Whether any group of the model has an engine that is not leaving.
+    pub(super) fn has_engines(targets: &Targets, model: &BaseModel) -> bool {
         let mut groups = targets.groups.values();
-        groups.any(|group| group.base_model == *model && group.places() > 0)
+        groups.any(|group| group.base_model == *model && group.batch_slots() > 0)
     }
 
-    fn of_model(&self, model: &BaseModel) -> Vec<&GroupId> {
+    fn groups_of_model(&self, model: &BaseModel) -> Vec<&GroupId> {
         let groups = self.targets.groups.iter();
         groups
-            .filter(|(_, group)| group.base_model == *model && group.places() > 0)
+            .filter(|(_, group)| group.base_model == *model && group.batch_slots() > 0)
             .map(|(id, _)| id)
             .collect()
     }
 
-    /// Whether a group's home is expected to answer.
-    fn is_willing(&self, id: &GroupId) -> bool {
-        let avoid_until = self.views.get(id).map_or(Time(0), |it| it.avoid_until);
-        avoid_until <= self.now && !self.is_home_silent(id)
+    /// Whether a group's owner is expected to respond.
+    fn is_available(&self, id: &GroupId) -> bool {
+        let avoid_until = self.views.get(id).map_or(Time(0), |view| view.avoid_until);
+        avoid_until <= self.now && !self.is_owner_unresponsive(id)
     }
 
-    fn is_home_silent(&self, id: &GroupId) -> bool {
-        if self.own.silent.is_empty() {
+    fn is_owner_unresponsive(&self, id: &GroupId) -> bool {
+        if self.ownership.silent.is_empty() {
             return false;
         }
-        let home = self.own.home(&HomeKey::Group(id.clone()));
-        home.is_some_and(|home| self.own.silent.contains(home))
+        let owner = self.ownership.home(&HomeKey::Group(id.clone()));
+        owner.is_some_and(|owner| self.ownership.silent.contains(owner))
     }
 
-    /// A group that holds the adapter, else the first of the rendezvous order with a slot to spare,
-    /// else the first of all; another than these only under a pressure that pays for a load.
+    /// Returns a group that holds the adapter, else the first group in rendezvous order with a free
+    /// slot, else the first group. Another group is returned only at a utilization that is worth a
+    /// load.
     fn by_affinity<'b>(&self, groups: &[&'b GroupId], adapter: &AdapterRef) -> Option<&'b GroupId> {
         let mut order = groups.to_vec();
-        order.sort_by_cached_key(|id| std::cmp::Reverse(rank(adapter, id)));
-        let view = |id: &GroupId| self.views.get(id);
-        let holding: Vec<&GroupId> = order
+        order.sort_by_cached_key(|id| std::cmp::Reverse(rendezvous_rank(adapter, id)));
+        let view_of = |id: &GroupId| self.views.get(id);
+        let resident_in: Vec<&GroupId> = order
             .iter()
             .copied()
-            .filter(|id| view(id).is_some_and(|it| it.holds(adapter)))
+            .filter(|id| view_of(id).is_some_and(|view| view.has_resident(adapter)))
             .collect();
-        let with_slots = || {
+        let with_free_slots = || {
             order
                 .iter()
                 .copied()
-                .find(|id| view(id).is_none_or(GroupView::has_free_slots))
+                .find(|id| view_of(id).is_none_or(GroupView::has_free_slots))
         };
-        let first = match self.spill(&holding, SPILL_PRESSURE) {
+        let first = match self.spill(&resident_in, SPILL_UTILIZATION) {
             Some(group) => group,
-            None => with_slots().or_else(|| order.first().copied())?,
+            None => with_free_slots().or_else(|| order.first().copied())?,
         };
-        if self.pressure(first) < COPY_PRESSURE {
+        if self.utilization_permille(first) < COPY_UTILIZATION {
             return Some(first);
         }
         let others = order.into_iter().filter(|id| *id != first);
         let rest = std::iter::once(first).chain(others);
-        self.spill(&rest.collect::<Vec<_>>(), COPY_PRESSURE)
+        self.spill(&rest.collect::<Vec<_>>(), COPY_UTILIZATION)
     }
 
-    /// The first group, unless it is pressed beyond `bound` and a later one much less.
-    fn spill<'b>(&self, order: &[&'b GroupId], bound: u64) -> Option<&'b GroupId> {
+    /// Returns the first group, unless its utilization reaches `threshold` and that of a later
+    /// group is lower by at least `MIN_SPILL_GAIN`.
+    fn spill<'b>(&self, order: &[&'b GroupId], threshold: u64) -> Option<&'b GroupId> {
         let mut best = *order.first()?;
         for next in &order[1..] {
-            let pressure = self.pressure(best);
-            if pressure < bound {
+            let utilization = self.utilization_permille(best);
+            if utilization < threshold {
                 return Some(best);
             }
-            if self.pressure(next) + SPILL_GAIN <= pressure {
+            if self.utilization_permille(next) + MIN_SPILL_GAIN <= utilization {
                 best = next;
             }
         }
         Some(best)
     }
 
-    fn pressure(&self, id: &GroupId) -> u64 {
-        let listed = self.targets.groups.get(id).map_or(0, ListedGroup::places);
-        self.views.get(id).map_or(0, |view| view.pressure(listed))
+    fn utilization_permille(&self, id: &GroupId) -> u64 {
+        let listed_batch_slots = self
+            .targets
+            .groups
+            .get(id)
+            .map_or(0, ListedGroup::batch_slots);
+        self.views
+            .get(id)
+            .map_or(0, |view| view.utilization_permille(listed_batch_slots))
     }
 }
 
-/// Rendezvous hash of an adapter and a group; versions of one adapter go together.
-fn rank(adapter: &AdapterRef, group: &GroupId) -> u64 {
+/// Returns the rendezvous hash of an adapter and a group; all versions of an adapter hash alike.
+fn rendezvous_rank(adapter: &AdapterRef, group: &GroupId) -> u64 {
     xxh3_64(format!("{}\n{group}", adapter.id).as_bytes())
 }
--- a/crates/core/src/engines/core.rs
+++ b/crates/core/src/engines/core.rs
@@ -1,4 +1,4 @@
-//! The engines state machine.
+//! The state machine for engines.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,88 +9,95 @@
     TargetInfo, Tuning,
 };
 
-use super::entry::Entry;
-use super::home::GroupHome;
+use super::client::PermitClient;
 use super::io::Io;
-use super::store::StoreHome;
+use super::owner::GroupOwner;
+use super::store_owner::StoreOwner;
 use super::targets::Targets;
-use super::{EnginesMessage, PermitAsk, PermitDecision, PermitEnd};
+use super::{EnginesMessage, PermitDecision, PermitEnd, PermitRequest};
 
-/// Places callers' requests, and schedules the engine groups that this instance is home of.
+/// Obtains permits for callers' requests, and schedules the engine groups that this instance owns.
 #[derive(Debug)]
 pub struct Engines {
     cfg: Tuning,
     seed: u64,
-    listed: Vec<TargetInfo>,
+    listed_targets: Vec<TargetInfo>,
     pub(super) targets: Targets,
-    entry: Entry,
-    pub(super) homes: BTreeMap<GroupId, GroupHome>,
-    store: Option<StoreHome>,
-    next_order: u64,
-    undelivered: Vec<PermitDecision>,
+    client: PermitClient,
+    pub(super) group_owners: BTreeMap<GroupId, GroupOwner>,
+    store_owner: Option<StoreOwner>,
+    next_order_id: u64,
+    undelivered_decisions: Vec<PermitDecision>,
 }
 
 impl Engines {
-    /// No targets known, nothing waiting; `seed` drives the random baseline and nothing else.
+    /// Creates the state machine without targets or requests; `seed` is used only by the random
+    /// baseline placement.
     #[must_use]
     pub fn new(cfg: &Tuning, seed: u64) -> Self {
         Self {
             cfg: cfg.clone(),
             seed,
-            listed: Vec::new(),
+            listed_targets: Vec::new(),
             targets: Targets::default(),
-            entry: Entry::new(seed),
-            homes: BTreeMap::new(),
-            store: None,
-            next_order: 0,
-            undelivered: Vec::new(),
+            client: PermitClient::new(seed),
+            group_owners: BTreeMap::new(),
+            store_owner: None,
+            next_order_id: 0,
+            undelivered_decisions: Vec::new(),
         }
     }
 
-    /// A caller's request needs an engine; decided by a [`PermitDecision`].
-    pub fn ask(&mut self, cx: &mut Cx<'_>, ask: PermitAsk) -> Vec<PermitDecision> {
-        self.step(cx, |this, io| this.entry.ask(io, &this.targets, ask))
+    /// Requests a permit for a caller's request; answered by a [`PermitDecision`].
+    pub fn request_permit(
+        &mut self,
+        cx: &mut Cx<'_>,
+        request: PermitRequest,
+    ) -> Vec<PermitDecision> {
+        self.step(cx, |this, io| {
+            this.client.request_permit(io, &this.targets, request);
+        })
     }
 
-    /// The caller of a waiting request went away, or its key was withdrawn.
+    /// Cancels a waiting request whose caller disconnected or whose key was withdrawn.
     ///
-    /// A place that comes free by this may go to another request of this instance; that decision comes
-    /// with the next step's.
+    /// A batch slot that this frees may go to another request of this instance; that decision is
+    /// returned by the next call.
     pub fn cancel(&mut self, cx: &mut Cx<'_>, request: RequestId) {
         let decisions = self.step(cx, |this, io| this.cancel_one(io, request));
-        self.undelivered = decisions;
+        self.undelivered_decisions = decisions;
     }
 
-    /// A permit that was decided but not delivered yet is handed back.
+    /// Cancels a request, or returns its permit unused if it was decided but not delivered yet.
     fn cancel_one(&mut self, io: &mut Io<'_, '_>, request: RequestId) {
         let before = io.decisions.len();
         io.decisions.retain(|decision| decision.request != request);
         if io.decisions.len() < before {
-            self.entry.finished(io, request, PermitEnd::NotUsed);
+            self.client.finish(io, request, PermitEnd::NotUsed);
         } else {
-            self.entry.cancel(io, request);
+            self.client.cancel(io, request);
         }
     }
 
-    /// A permit's use ended.
-    pub fn finished(
+    /// Handles the end of a permit's use.
+    pub fn permit_ended(
         &mut self,
         cx: &mut Cx<'_>,
         request: RequestId,
         end: PermitEnd,
     ) -> Vec<PermitDecision> {
-        self.step(cx, |this, io| this.entry.finished(io, request, end))
+        self.step(cx, |this, io| this.client.finish(io, request, end))
     }
 
-    /// The platform's list of targets, plain services included (ignored here).
+    /// Takes the platform's list of targets; services in it are ignored.
     pub fn set_targets(&mut self, cx: &mut Cx<'_>, targets: &[TargetInfo]) -> Vec<PermitDecision> {
         self.step(cx, |this, io| {
-            this.listed = targets.to_vec();
-            this.regroup(io);
+            this.listed_targets = targets.to_vec();
+            this.update_groups(io);
         })
     }
 
-    /// An order ended.
+    /// Handles the outcome of an order to an engine.
     pub fn order_ended(
         &mut self,
         cx: &mut Cx<'_>,
@@ -99,204 +106,232 @@
         outcome: OrderOutcome,
     ) -> Vec<PermitDecision> {
         self.step(cx, |this, io| {
-            let home = this
-                .homes
+            let owner = this
+                .group_owners
                 .values_mut()
-                .find(|home| home.orders.contains_key(&id));
-            let Some(home) = home.filter(|home| home.engines.contains_key(target)) else {
+                .find(|owner| owner.orders.contains_key(&id));
+            let Some(owner) = owner.filter(|owner| owner.engines.contains_key(target)) else {
                 return;
             };
-            home.order_ended(io, id, outcome);
-            home.act(io);
+            owner.order_ended(io, id, outcome);
+            owner.advance(io);
         })
     }
 
-    /// A newer map is in force.
+    /// Handles a change of the map in force.
     pub fn map_changed(&mut self, cx: &mut Cx<'_>) -> Vec<PermitDecision> {
         self.step(cx, |this, io| {
-            this.homes.retain(|_, home| home.survives(io));
-            for home in this.homes.values_mut() {
-                home.map_changed(io);
+            this.group_owners
+                .retain(|_, owner| owner.has_kept_ownership(io));
+            for owner in this.group_owners.values_mut() {
+                owner.map_changed(io);
             }
-            this.store.take_if(|store| !store.survives(io.cx.own));
-            this.regroup(io);
-            this.entry.map_changed(io, &this.targets);
+            this.store_owner
+                .take_if(|store_owner| !store_owner.has_kept_ownership(io.cx.own));
+            this.update_groups(io);
+            this.client.map_changed(io, &this.targets);
         })
     }
 
-    /// Takes a message.
+    /// Handles a message from another instance.
     pub fn message(
         &mut self,
         cx: &mut Cx<'_>,
         from: &InstanceId,
         message: EnginesMessage,
     ) -> Vec<PermitDecision> {
-        self.step(cx, |this, io| this.take(io, from, message))
+        self.step(cx, |this, io| this.dispatch(io, from, message))
     }
 
-    /// Time passed.
+    /// Does all work that is due at the current time.
     pub fn tick(&mut self, cx: &mut Cx<'_>) -> Vec<PermitDecision> {
         self.step(cx, |this, io| {
-            this.entry.tick(io, &this.targets);
-            for home in this.homes.values_mut() {
-                home.act(io);
+            this.client.tick(io, &this.targets);
+            for owner in this.group_owners.values_mut() {
+                owner.advance(io);
             }
-            if let Some(store) = &mut this.store {
-                store.act(io);
+            if let Some(store_owner) = &mut this.store_owner {
+                store_owner.advance(io);
             }
         })
     }
 
-    /// Permits that this instance, as home of groups, counts as out.
+    /// Returns the number of outstanding permits of the groups that this instance owns.
     #[must_use]
-    pub fn permits_out(&self) -> usize {
-        self.homes.values().map(|home| home.permits.len()).sum()
+    pub fn outstanding_permits(&self) -> usize {
+        self.group_owners
+            .values()
+            .map(|owner| owner.permits.len())
+            .sum()
     }
 
-    /// Does `act`, then takes the messages that this instance has for itself.
+    /// Runs `act`, then handles the messages that this instance sent to itself.
     fn step(
         &mut self,
         cx: &mut Cx<'_>,
         act: impl FnOnce(&mut Self, &mut Io<'_, '_>),
     ) -> Vec<PermitDecision> {
-        let mut local = VecDeque::new();
-        let mut decisions = std::mem::take(&mut self.undelivered);
+        let mut local_messages = VecDeque::new();
+        let mut decisions = std::mem::take(&mut self.undelivered_decisions);
         let cfg = self.cfg.clone();
-        let mut next_order = self.next_order;
-        let me = cx.own.me.id.clone();
+        let mut next_order_id = self.next_order_id;
+        let local_id = cx.own.me.id.clone();
         let mut io = Io {
             cx,
             cfg: &cfg,
-            groups: self.targets.groups.len(),
-            local: &mut local,
+            group_count: self.targets.groups.len(),
+            local_messages: &mut local_messages,
             decisions: &mut decisions,
-            next_order: &mut next_order,
+            next_order_id: &mut next_order_id,
         };
         act(self, &mut io);
-        while let Some(message) = io.local.pop_front() {
-            self.take(&mut io, &me, message);
+        while let Some(message) = io.local_messages.pop_front() {
+            self.dispatch(&mut io, &local_id, message);
         }
-        self.next_order = next_order;
+        self.next_order_id = next_order_id;
         decisions
     }
 
-    /// Homes for the groups that are this instance's to schedule.
-    fn regroup(&mut self, io: &Io<'_, '_>) {
-        let own = io.cx.own;
-        self.targets = Targets::new(&self.listed, own.map.terms.grouping);
+    /// Rebuilds the groups from the list and creates the owners of those that this instance owns.
+    fn update_groups(&mut self, io: &Io<'_, '_>) {
+        let ownership = io.cx.own;
+        self.targets = Targets::new(&self.listed_targets, ownership.map.terms.grouping);
         for id in self.targets.groups.keys() {
-            let is_home = own.is_home(&HomeKey::Group(id.clone()));
-            if is_home && !self.homes.contains_key(id) {
+            let is_owner = ownership.is_home(&HomeKey::Group(id.clone()));
+            if is_owner && !self.group_owners.contains_key(id) {
                 let seed = self.seed ^ xxh3_64(id.as_str().as_bytes());
-                let home = GroupHome::new(id.clone(), io.cfg, own.revision(), seed);
-                self.homes.insert(id.clone(), home);
+                let owner = GroupOwner::new(id.clone(), io.cfg, ownership.revision(), seed);
+                self.group_owners.insert(id.clone(), owner);
             }
         }
-        for (id, home) in &mut self.homes {
-            home.set_engines(self.targets.groups.get(id), io.now());
+        for (id, owner) in &mut self.group_owners {
+            owner.set_engines(self.targets.groups.get(id), io.now());
         }
-        if self.store.is_none() && own.is_home(&HomeKey::WeightStore) {
-            self.store = Some(StoreHome::new(own.revision()));
+        if self.store_owner.is_none() && ownership.is_home(&HomeKey::WeightStore) {
+            self.store_owner = Some(StoreOwner::new(ownership.revision()));
         }
     }
 
-    fn take(&mut self, io: &mut Io<'_, '_>, from: &InstanceId, message: EnginesMessage) {
+    fn dispatch(&mut self, io: &mut Io<'_, '_>, from: &InstanceId, message: EnginesMessage) {
         match message {
             EnginesMessage::Queued {
                 number,
                 group,
                 status,
-            } => self.entry.queued(io, from, number, group, status),
-            EnginesMessage::TurnedAway { number, group, .. } => {
-                self.entry.turned_away(io, &self.targets, number, group);
+            } => self.client.handle_queued(io, from, number, group, status),
+            EnginesMessage::Rejected { number, group, .. } => {
+                self.client
+                    .handle_rejected(io, &self.targets, number, group);
             }
-            EnginesMessage::Grant(grant) => self.entry.granted(io, from, *grant),
-            EnginesMessage::EndNoted { group, permit } => self.entry.end_noted(group, permit),
-            EnginesMessage::WhichPermits { group, revision } => {
-                self.entry.tell_held(io, from, group.clone(), revision);
-                self.entry.home_acts(io, &self.targets, &group);
+            EnginesMessage::Grant(grant) => self.client.handle_grant(io, from, *grant),
+            EnginesMessage::EndAcknowledged { group, permit } => {
+                self.client.acknowledge_end(group, permit);
+            }
+            EnginesMessage::QueryHeldPermits { group, revision } => {
+                self.client
+                    .send_held_permits(io, from, group.clone(), revision);
+                self.client.handle_owner_active(io, &self.targets, &group);
             }
             EnginesMessage::Status {
                 group,
                 status,
                 residency,
-            } => self.entry.told(group, status, residency),
+            } => self.client.record_status_update(group, status, residency),
             EnginesMessage::LoadDemand(demand) => {
-                self.at_store(io, |store, io| store.demand(io, from, demand));
+                self.with_store_owner(io, |store_owner, io| {
+                    store_owner.record_demand(io, from, demand);
+                });
             }
-            EnginesMessage::Loaded {
+            EnginesMessage::LoadPermitReleased {
                 group,
                 permit,
                 used,
-            } => self.at_store(io, |store, _| store.loaded(group, permit, used)),
-            message => self.take_as_home(io, from, message),
+            } => self.with_store_owner(io, |store_owner, _| {
+                store_owner.release(group, permit, used);
+            }),
+            message => self.dispatch_to_owner(io, from, message),
         }
     }
 
-    fn at_store(&mut self, io: &mut Io<'_, '_>, act: impl FnOnce(&mut StoreHome, &mut Io<'_, '_>)) {
-        if let Some(store) = &mut self.store {
-            act(store, io);
-            store.act(io);
+    fn with_store_owner(
+        &mut self,
+        io: &mut Io<'_, '_>,
+        act: impl FnOnce(&mut StoreOwner, &mut Io<'_, '_>),
+    ) {
+        if let Some(store_owner) = &mut self.store_owner {
+            act(store_owner, io);
+            store_owner.advance(io);
         }
     }
 
-    fn take_as_home(&mut self, io: &mut Io<'_, '_>, from: &InstanceId, message: EnginesMessage) {
+    fn dispatch_to_owner(
+        &mut self,
+        io: &mut Io<'_, '_>,
+        from: &InstanceId,
+        message: EnginesMessage,
+    ) {
         match message {
-            EnginesMessage::Ask(asked) => {
-                let group = asked.group.clone();
-                self.at_home(io, &group, |home, io| home.asked(io, from, *asked));
+            EnginesMessage::Enqueue(enqueue) => {
+                let group = enqueue.group.clone();
+                self.with_group_owner(io, &group, |owner, io| {
+                    owner.handle_enqueue(io, from, *enqueue);
+                });
             }
             EnginesMessage::Cancel {
                 group,
                 incarnation,
                 number,
             } => {
-                let holder = MemberRef {
+                let requester = MemberRef {
                     id: from.clone(),
                     incarnation,
                 };
-                self.at_home(io, &group, |home, _| home.cancelled(holder, number));
+                self.with_group_owner(io, &group, |owner, _| {
+                    owner.handle_cancel(requester, number);
+                });
             }
-            EnginesMessage::Taken { group, permit } => {
-                self.at_home(io, &group, |home, _| home.taken(permit));
+            EnginesMessage::Accepted { group, permit } => {
+                self.with_group_owner(io, &group, |owner, _| owner.handle_accepted(permit));
             }
-            EnginesMessage::Ended { group, permit, end } => {
-                self.at_home(io, &group, |home, io| home.ended(io, from, permit, end));
+            EnginesMessage::PermitEnded { group, permit, end } => {
+                self.with_group_owner(io, &group, |owner, io| {
+                    owner.handle_permit_ended(io, from, permit, end);
+                });
             }
-            EnginesMessage::Holding {
+            EnginesMessage::HeldPermits {
                 group,
                 revision,
                 incarnation,
                 permits,
             } => {
-                let life = MemberRef {
+                let sender = MemberRef {
                     id: from.clone(),
                     incarnation,
                 };
-                self.at_home(io, &group, |home, io| {
-                    home.holding(io, &life, revision, permits);
+                self.with_group_owner(io, &group, |owner, io| {
+                    owner.handle_held_permits(io, &sender, revision, permits);
                 });
             }
-            EnginesMessage::MayLoad {
+            EnginesMessage::LoadPermit {
                 group,
                 sequence,
                 permit,
-            } => self.at_home(io, &group, |home, io| {
-                home.may_load(io, from, sequence, permit);
+            } => self.with_group_owner(io, &group, |owner, io| {
+                owner.handle_load_permit(io, from, sequence, permit);
             }),
             _ => {}
         }
     }
 
-    fn at_home(
+    fn with_group_owner(
         &mut self,
         io: &mut Io<'_, '_>,
         group: &GroupId,
-        act: impl FnOnce(&mut GroupHome, &mut Io<'_, '_>),
+        act: impl FnOnce(&mut GroupOwner, &mut Io<'_, '_>),
     ) {
-        if let Some(home) = self.homes.get_mut(group) {
-            act(home, io);
-            home.act(io);
+        if let Some(owner) = self.group_owners.get_mut(group) {
+            act(owner, io);
+            owner.advance(io);
         }
     }
 }
--- a/crates/core/src/engines/engine.rs
+++ b/crates/core/src/engines/engine.rs
@@ -1,4 +1,4 @@
-//! One engine, as its group's home believes.
+//! The state of one engine, as known to its group's owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,39 +7,39 @@
 
 use super::slot::{Slot, SlotState};
 use super::targets::ListedEngine;
-use super::timing::REPORT_LAG;
+use super::timing::MAX_REPORT_AGE;
 
-/// Reports in a row that must stay out before an engine counts as down.
-const MISSED_REPORTS: u32 = 2;
+/// Number of consecutive missing reports after which an engine counts as down.
+const MISSED_REPORTS_THRESHOLD: u32 = 2;
 
-/// How far a new home has raised the fencing number that the engine knows.
+/// Whether an engine knows the fencing number of its group's current owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Fence {
-    /// Not yet.
-    Unsent,
-    /// An order is on its way.
+pub(super) enum FenceState {
+    /// No order with the number has been sent.
+    NotSent,
+    /// An order with the number has been sent.
     Sent(OrderId),
-    /// The engine answered an order with it: it refuses a former home's orders.
-    Raised,
+    /// The engine responded to an order with the number, so it refuses a former owner's orders.
+    Confirmed,
 }
 
-/// Whether an engine is there to stay.
+/// Whether an engine takes new requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Presence {
-    /// It takes work.
-    Staying,
-    /// It finishes what it has.
+pub(super) enum Availability {
+    /// The engine takes new requests.
+    Active,
+    /// The engine only finishes the requests that it has.
     Leaving,
-    /// The list no longer shows it.
+    /// The engine is no longer in the platform's list.
     Unlisted,
 }
 
-impl Presence {
+impl Availability {
     const fn of(listed: &ListedEngine) -> Self {
         if listed.leaving {
             Self::Leaving
         } else {
-            Self::Staying
+            Self::Active
         }
     }
 }
@@ -52,31 +52,32 @@
     pub(super) slots_total: u32,
     pub(super) max_batch: u32,
     pub(super) checks_fencing: bool,
-    pub(super) presence: Presence,
+    pub(super) availability: Availability,
     pub(super) slots: BTreeMap<AdapterRef, Slot>,
-    /// Permits outstanding, by adapter; kept apart from the slots, which a restart empties.
-    uses: BTreeMap<AdapterRef, u32>,
+    /// Outstanding permits by adapter; kept apart from the slots, which a restart empties.
+    permits_by_adapter: BTreeMap<AdapterRef, u32>,
     permits: u32,
-    /// Requests inside that no known permit accounts for.
-    pub(super) strangers: u32,
-    pub(super) fence: Fence,
-    /// A report was applied under this home.
-    pub(super) known: bool,
-    /// Adapters for which a permit of a former home was out at the takeover.
-    pub(super) inherited: BTreeSet<AdapterRef>,
-    /// Adapters that the newest report shows in use.
-    pub(super) reported_use: BTreeSet<AdapterRef>,
+    /// Requests in the engine that belong to no known permit.
+    pub(super) untracked_requests: u32,
+    pub(super) fence: FenceState,
+    /// Whether a report has been applied under this owner.
+    pub(super) has_report: bool,
+    /// Adapters for which a permit of a former owner was outstanding at the takeover.
+    pub(super) inherited_adapters: BTreeSet<AdapterRef>,
+    /// Adapters in use according to the newest report.
+    pub(super) reported_in_use: BTreeSet<AdapterRef>,
     boot: u64,
-    /// The boot before the last restart: a late report may still speak of it.
-    former_boot: Option<u64>,
-    missed: u32,
+    /// The boot before the last restart; a delayed report may still carry it.
+    previous_boot: Option<u64>,
+    missed_reports: u32,
     pub(super) report_order: Option<OrderId>,
-    pub(super) next_report: Time,
-    report_asked: Time,
-    /// No load before this time: one failed.
-    pub(super) load_from: Time,
-    failed_loads: BTreeMap<AdapterRef, Time>,
-    unloaded: BTreeMap<AdapterRef, Time>,
+    pub(super) next_report_at: Time,
+    last_report_requested_at: Time,
+    /// No load is ordered before this time, as one has failed.
+    pub(super) loads_allowed_from: Time,
+    /// Adapters whose load failed, with the time of the next attempt.
+    load_retry_at: BTreeMap<AdapterRef, Time>,
+    unloaded_at: BTreeMap<AdapterRef, Time>,
 }
 
 impl Engine {
@@ -87,24 +88,24 @@
             slots_total: listed.slots,
             max_batch: listed.max_batch,
             checks_fencing: listed.checks_fencing,
-            presence: Presence::of(listed),
+            availability: Availability::of(listed),
             slots: BTreeMap::new(),
-            uses: BTreeMap::new(),
+            permits_by_adapter: BTreeMap::new(),
             permits: 0,
-            strangers: 0,
-            fence: Fence::Unsent,
-            known: false,
-            inherited: BTreeSet::new(),
-            reported_use: BTreeSet::new(),
+            untracked_requests: 0,
+            fence: FenceState::NotSent,
+            has_report: false,
+            inherited_adapters: BTreeSet::new(),
+            reported_in_use: BTreeSet::new(),
             boot: 0,
-            former_boot: None,
-            missed: 0,
+            previous_boot: None,
+            missed_reports: 0,
             report_order: None,
-            next_report: now,
-            report_asked: Time(0),
-            load_from: now,
-            failed_loads: BTreeMap::new(),
-            unloaded: BTreeMap::new(),
+            next_report_at: now,
+            last_report_requested_at: Time(0),
+            loads_allowed_from: now,
+            load_retry_at: BTreeMap::new(),
+            unloaded_at: BTreeMap::new(),
         }
     }
 
@@ -113,48 +114,59 @@
         self.slots_total = listed.slots;
         self.max_batch = listed.max_batch;
         self.checks_fencing = listed.checks_fencing;
-        if self.presence != Presence::Leaving {
-            self.presence = Presence::of(listed);
+        if self.availability != Availability::Leaving {
+            self.availability = Availability::of(listed);
         }
     }
 
-    /// Whether it takes new work.
-    pub(super) const fn is_open(&self) -> bool {
-        matches!(self.presence, Presence::Staying) && self.missed < MISSED_REPORTS
+    /// Whether the engine takes new requests: it is not leaving and its reports arrive.
+    pub(super) const fn accepts_requests(&self) -> bool {
+        matches!(self.availability, Availability::Active)
+            && self.missed_reports < MISSED_REPORTS_THRESHOLD
     }
 
     pub(super) const fn permits(&self) -> u32 {
         self.permits
     }
 
-    pub(super) fn uses(&self, adapter: &AdapterRef) -> u32 {
-        self.uses.get(adapter).copied().unwrap_or_default()
+    pub(super) fn permits_for(&self, adapter: &AdapterRef) -> u32 {
+        self.permits_by_adapter
+            .get(adapter)
+            .copied()
+            .unwrap_or_default()
     }
 
-    pub(super) fn permit_out(&mut self, adapter: &AdapterRef, now: Time) {
+    pub(super) fn record_grant(&mut self, adapter: &AdapterRef, now: Time) {
         self.permits += 1;
-        *self.uses.entry(adapter.clone()).or_default() += 1;
+        *self.permits_by_adapter.entry(adapter.clone()).or_default() += 1;
         if let Some(slot) = self.slots.get_mut(adapter) {
-            slot.granted(now);
+            slot.record_grant(now);
         }
     }
 
-    /// A permit ended; `settled` tells that nothing of it can still run inside the engine.
-    pub(super) fn permit_back(&mut self, adapter: &AdapterRef, now: Time, settled: bool) {
+    /// Records the end of a permit; `has_finished` means that its request can no longer run in the
+    /// engine.
+    pub(super) fn record_permit_end(
+        &mut self,
+        adapter: &AdapterRef,
+        now: Time,
+        has_finished: bool,
+    ) {
         self.permits = self.permits.saturating_sub(1);
-        if let Some(uses) = self.uses.get_mut(adapter) {
-            *uses -= 1;
-            if *uses == 0 {
-                self.uses.remove(adapter);
+        if let Some(permits) = self.permits_by_adapter.get_mut(adapter) {
+            *permits -= 1;
+            if *permits == 0 {
+                self.permits_by_adapter.remove(adapter);
             }
         }
         if let Some(slot) = self.slots.get_mut(adapter) {
-            slot.ended(now, settled);
+            slot.record_permit_end(now, has_finished);
         }
     }
 
-    pub(super) const fn free_places(&self) -> u32 {
-        self.max_batch.saturating_sub(self.permits + self.strangers)
+    pub(super) const fn free_batch_slots(&self) -> u32 {
+        self.max_batch
+            .saturating_sub(self.permits + self.untracked_requests)
     }
 
     pub(super) fn free_slots(&self) -> u32 {
@@ -167,133 +179,155 @@
         slots.any(|slot| slot.state == SlotState::Loading)
     }
 
-    pub(super) fn holds(&self, adapter: &AdapterRef) -> bool {
+    pub(super) fn has_resident(&self, adapter: &AdapterRef) -> bool {
         self.slots.get(adapter).is_some_and(Slot::is_resident)
     }
 
-    /// Whether a load of the adapter may be tried here now.
-    pub(super) fn may_load(&self, adapter: &AdapterRef, now: Time) -> bool {
-        let backs_off = self
-            .failed_loads
+    /// Whether a load of the adapter may be ordered now.
+    pub(super) fn can_load(&self, adapter: &AdapterRef, now: Time) -> bool {
+        let is_backing_off = self
+            .load_retry_at
             .get(adapter)
             .is_some_and(|until| now < *until);
-        self.is_open()
-            && self.known
+        self.accepts_requests()
+            && self.has_report
             && !self.is_loading()
-            && now >= self.load_from
-            && !backs_off
+            && now >= self.loads_allowed_from
+            && !is_backing_off
             && !self.slots.contains_key(adapter)
     }
 
-    pub(super) fn load_failed(&mut self, adapter: AdapterRef, engine: Time, again: Time) {
+    pub(super) fn record_load_failure(
+        &mut self,
+        adapter: AdapterRef,
+        engine_retry_at: Time,
+        adapter_retry_at: Time,
+    ) {
         self.slots.remove(&adapter);
-        self.load_from = engine;
-        self.failed_loads.insert(adapter, again);
+        self.loads_allowed_from = engine_retry_at;
+        self.load_retry_at.insert(adapter, adapter_retry_at);
     }
 
-    pub(super) fn load_done(&mut self, adapter: &AdapterRef, now: Time) {
-        self.failed_loads.remove(adapter);
-        self.unloaded.remove(adapter);
+    pub(super) fn record_load(&mut self, adapter: &AdapterRef, now: Time) {
+        self.load_retry_at.remove(adapter);
+        self.unloaded_at.remove(adapter);
         if let Some(slot) = self.slots.get_mut(adapter) {
-            slot.set(SlotState::Resident, now);
+            slot.set_state(SlotState::Resident, now);
         }
     }
 
-    pub(super) fn unload_done(&mut self, adapter: &AdapterRef, now: Time) {
+    pub(super) fn record_unload(&mut self, adapter: &AdapterRef, now: Time) {
         self.slots.remove(adapter);
-        self.unloaded.insert(adapter.clone(), now);
+        self.unloaded_at.insert(adapter.clone(), now);
     }
 
-    /// An order's outcome is unknown; a report asked at or after `from` tells.
-    pub(super) fn doubt(&mut self, adapter: &AdapterRef, from: Time, now: Time) {
+    /// Marks the outcome of an order as unknown until a report that was requested at or after
+    /// `from`.
+    pub(super) fn mark_uncertain(&mut self, adapter: &AdapterRef, from: Time, now: Time) {
         if let Some(slot) = self.slots.get_mut(adapter) {
-            slot.set(SlotState::Doubtful(from), now);
+            slot.set_state(SlotState::Uncertain(from), now);
         }
     }
 
-    /// A report stayed out.
-    pub(super) const fn report_missed(&mut self) {
-        self.missed += 1;
+    pub(super) const fn record_missed_report(&mut self) {
+        self.missed_reports += 1;
     }
 
-    /// A request failed here: no new work before a report shows the engine alive.
-    pub(super) fn suspect(&mut self, now: Time) {
-        self.missed = self.missed.max(MISSED_REPORTS);
-        self.next_report = now;
+    /// Withholds new requests after a failed one, until a report shows that the engine is alive.
+    pub(super) fn mark_unresponsive(&mut self, now: Time) {
+        self.missed_reports = self.missed_reports.max(MISSED_REPORTS_THRESHOLD);
+        self.next_report_at = now;
     }
 
-    /// The engine says that it does not hold an adapter for which a permit was granted at `granted`.
-    pub(super) fn doubt_slot(&mut self, adapter: &AdapterRef, granted: Time, now: Time) {
-        self.next_report = now;
+    /// Records that the engine did not hold an adapter for which a permit was granted at
+    /// `granted_at`.
+    pub(super) fn record_wrong_adapter(
+        &mut self,
+        adapter: &AdapterRef,
+        granted_at: Time,
+        now: Time,
+    ) {
+        self.next_report_at = now;
         if let Some(slot) = self.slots.get_mut(adapter)
             && slot.is_resident()
-            && slot.since <= granted
+            && slot.state_since <= granted_at
         {
-            slot.set(SlotState::Doubtful(now + REPORT_LAG), now);
+            slot.set_state(SlotState::Uncertain(now + MAX_REPORT_AGE), now);
         }
     }
 
-    /// Takes a report asked at `asked`; true if the engine restarted.
-    pub(super) fn report(&mut self, report: &EngineReport, asked: Time, now: Time) -> bool {
-        self.missed = 0;
-        if self.known && (asked < self.report_asked || self.former_boot == Some(report.boot)) {
+    /// Applies a report requested at `requested_at`; returns true if the engine has restarted.
+    pub(super) fn apply_report(
+        &mut self,
+        report: &EngineReport,
+        requested_at: Time,
+        now: Time,
+    ) -> bool {
+        self.missed_reports = 0;
+        if self.has_report
+            && (requested_at < self.last_report_requested_at
+                || self.previous_boot == Some(report.boot))
+        {
             return false;
         }
-        self.report_asked = asked;
-        let restarted = self.known && report.boot != self.boot;
-        if restarted {
-            self.former_boot = Some(self.boot);
+        self.last_report_requested_at = requested_at;
+        let has_restarted = self.has_report && report.boot != self.boot;
+        if has_restarted {
+            self.previous_boot = Some(self.boot);
             self.slots.clear();
-            self.unloaded.clear();
-            self.fence = Fence::Unsent;
-            self.presence = Presence::Staying;
+            self.unloaded_at.clear();
+            self.fence = FenceState::NotSent;
+            self.availability = Availability::Active;
         }
         self.boot = report.boot;
-        self.known = true;
-        self.reported_use.clone_from(&report.in_use);
+        self.has_report = true;
+        self.reported_in_use.clone_from(&report.in_use);
         if report.leaving {
-            self.presence = Presence::Leaving;
+            self.availability = Availability::Leaving;
         }
-        self.drop_absent(report, asked, restarted);
-        self.add_present(report, asked, now);
+        self.remove_absent(report, requested_at, has_restarted);
+        self.add_reported(report, requested_at, now);
         for (adapter, slot) in &mut self.slots {
-            slot.reported(asked, report.in_use.contains(adapter));
+            slot.record_report(requested_at, report.in_use.contains(adapter));
         }
-        self.unloaded.retain(|_, at| now < *at + REPORT_LAG * 2);
-        self.failed_loads.retain(|_, until| now < *until);
-        restarted
+        self.unloaded_at
+            .retain(|_, at| now < *at + MAX_REPORT_AGE * 2);
+        self.load_retry_at.retain(|_, until| now < *until);
+        has_restarted
     }
 
-    /// Forgets slots that the report shows empty, unless it may be older than their filling.
-    fn drop_absent(&mut self, report: &EngineReport, asked: Time, restarted: bool) {
+    /// Removes slots that the report shows empty, unless the report may be older than their load.
+    fn remove_absent(&mut self, report: &EngineReport, requested_at: Time, has_restarted: bool) {
         self.slots.retain(|adapter, slot| {
             if report.resident.contains(adapter) {
                 return true;
             }
             match slot.state {
-                SlotState::Loading | SlotState::Unloading => !restarted,
-                SlotState::Doubtful(from) => asked < from,
-                SlotState::Resident => !restarted && asked < slot.since + REPORT_LAG,
+                SlotState::Loading | SlotState::Unloading => !has_restarted,
+                SlotState::Uncertain(from) => requested_at < from,
+                SlotState::Resident => {
+                    !has_restarted && requested_at < slot.state_since + MAX_REPORT_AGE
+                }
             }
         });
     }
 
-    /// Learns of slots that others filled, unless the report may be older than their emptying.
-    fn add_present(&mut self, report: &EngineReport, asked: Time, now: Time) {
+    /// Adds slots that the report shows occupied, unless the report may be older than their unload.
+    fn add_reported(&mut self, report: &EngineReport, requested_at: Time, now: Time) {
         for adapter in &report.resident {
-            let stale = self
-                .unloaded
+            let is_stale = self
+                .unloaded_at
                 .get(adapter)
-                .is_some_and(|at| asked < *at + REPORT_LAG);
+                .is_some_and(|at| requested_at < *at + MAX_REPORT_AGE);
             match self.slots.get_mut(adapter) {
                 Some(slot) => {
-                    if let SlotState::Doubtful(from) = slot.state
-                        && asked >= from
+                    if let SlotState::Uncertain(from) = slot.state
+                        && requested_at >= from
                     {
-                        slot.set(SlotState::Resident, now);
+                        slot.set_state(SlotState::Resident, now);
                     }
                 }
-                None if stale => {}
+                None if is_stale => {}
                 None => {
                     let slot = Slot::new(SlotState::Resident, now);
                     self.slots.insert(adapter.clone(), slot);
--- a/crates/core/src/engines/io.rs
+++ b/crates/core/src/engines/io.rs
@@ -1,4 +1,4 @@
-//! What every part of the engines' core acts through.
+//! The context in which the parts of the engines' state machine run.
 
 use std::collections::VecDeque;
 
@@ -10,16 +10,15 @@
 use super::engine::Engine;
 use super::{EnginesMessage, Permit, PermitDecision};
 
-/// One step's surroundings: the moment, who may act, and where actions and decisions go.
+/// The context of one step: the time, the ownership, and the outputs for actions and decisions.
 #[derive(Debug)]
 pub(super) struct Io<'a, 'b> {
     pub(super) cx: &'a mut Cx<'b>,
     pub(super) cfg: &'a Tuning,
-    /// How many groups of engines there are.
-    pub(super) groups: usize,
-    pub(super) local: &'a mut VecDeque<EnginesMessage>,
+    pub(super) group_count: usize,
+    pub(super) local_messages: &'a mut VecDeque<EnginesMessage>,
     pub(super) decisions: &'a mut Vec<PermitDecision>,
-    pub(super) next_order: &'a mut u64,
+    pub(super) next_order_id: &'a mut u64,
 }
 
 impl Io<'_, '_> {
@@ -27,14 +26,14 @@
         self.cx.now
     }
 
-    pub(super) const fn me(&self) -> &MemberRef {
+    pub(super) const fn local_member(&self) -> &MemberRef {
         &self.cx.own.me
     }
 
-    /// Sends a message; one to this instance itself is taken in the same step.
+    /// Sends a message; one to the local instance is handled in the same step.
     pub(super) fn send(&mut self, to: &InstanceId, message: EnginesMessage) {
         if *to == self.cx.own.me.id {
-            self.local.push_back(message);
+            self.local_messages.push_back(message);
             return;
         }
         self.cx.out.push(Action::Send {
@@ -43,9 +42,9 @@
         });
     }
 
-    pub(super) fn order(&mut self, engine: &Engine, kind: TargetOrderKind) -> OrderId {
-        let id = OrderId(*self.next_order);
-        *self.next_order += 1;
+    pub(super) fn send_order(&mut self, engine: &Engine, kind: TargetOrderKind) -> OrderId {
+        let id = OrderId(*self.next_order_id);
+        *self.next_order_id += 1;
         self.cx.out.push(Action::Order(TargetOrder {
             id,
             target: engine.id.clone(),
--- a/crates/core/src/engines/loading.rs
+++ b/crates/core/src/engines/loading.rs
@@ -1,4 +1,4 @@
-//! Filling and emptying slots, and learning what engines hold.
+//! Loading adapters into slots and evicting adapters from them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -6,62 +6,64 @@
 use crate::{AdapterRef, HomeKey, InstanceId, Revision, TargetId, Time, Tokens, WorkspaceId};
 
 use super::engine::Engine;
-use super::home::GroupHome;
+use super::fallback_loads::FallbackLoads;
 use super::io::Io;
 use super::message::LoadDemand;
+use super::owner::GroupOwner;
 use super::slot::{Slot, SlotState};
-use super::timing::{DEMAND_REFRESH, LOAD_START};
-use super::unpermitted::Unpermitted;
-use super::{EnginesMessage, PermitRef};
+use super::timing::{DEMAND_REFRESH_INTERVAL, LOAD_PERMIT_TTL};
+use super::{EnginesMessage, PermitId};
 
-/// A request that waited this long for a load gets a slot drained for it if none is idle.
-const DRAIN_AFTER: Duration = Duration::from_secs(1);
+/// After a request has waited this long for a load, a slot is drained for it if none is idle.
+const DRAIN_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// An adapter is copied to a second engine when so many requests wait for it.
-const COPY_WAITING: u32 = 3;
+/// Minimum number of waiting requests for which an adapter is loaded on a further engine.
+const MIN_WAITING_FOR_COPY: u32 = 3;
 
-/// Places that an engine must have free to get a copy.
-const COPY_PLACES: u32 = 3;
+/// Minimum number of free batch slots of an engine that gets a further copy of an adapter.
+const MIN_FREE_BATCH_SLOTS_FOR_COPY: u32 = 3;
 
-/// What a load counts as when workspaces share a group fairly.
+/// The cost of a load in the fair queueing between workspaces.
 const LOAD_COST: Tokens = Tokens(2_000);
 
-/// Least time between two changed demands.
-const DEMAND_INTERVAL: Duration = Duration::from_millis(20);
+/// Minimum time between two demands when the demand changes.
+const MIN_DEMAND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Load permits and demands of a group.
+/// The load permits and demands of a group.
 #[derive(Debug, Default)]
 pub(super) struct Loading {
-    /// Load permits held, with the time before which the load must be ordered.
-    pub(super) held: BTreeMap<PermitRef, Time>,
-    /// Loads that wait for their slot to be emptied.
-    pub(super) planned: BTreeMap<TargetId, (AdapterRef, PermitRef)>,
-    demands: VecDeque<(u64, Time)>,
+    /// Load permits in use, with the time before which the load must be ordered.
+    pub(super) held_permits: BTreeMap<PermitId, Time>,
+    /// Loads that wait for the unload of the adapter in their slot.
+    pub(super) planned_loads: BTreeMap<TargetId, (AdapterRef, PermitId)>,
+    sent_demands: VecDeque<(u64, Time)>,
     sequence: u64,
-    sent: (u32, u32),
-    sent_at: Time,
-    newest: Revision,
-    /// Load permits that came lately: one that comes twice is used once.
-    came: BTreeMap<PermitRef, Time>,
-    pub(super) unpermitted: Unpermitted,
+    sent_counts: (u32, u32),
+    demand_sent_at: Time,
+    newest_revision: Revision,
+    /// Load permits received recently, so that a duplicated message is used once.
+    received_permits: BTreeMap<PermitId, Time>,
+    pub(super) fallback: FallbackLoads,
 }
 
 impl Loading {
-    fn first_time(&mut self, permit: PermitRef, now: Time) -> bool {
-        self.came.retain(|_, at| now < *at + LOAD_START * 2);
-        self.came.insert(permit, now).is_none()
+    /// Records a received load permit; returns false for a duplicate.
+    fn record_receipt(&mut self, permit: PermitId, now: Time) -> bool {
+        self.received_permits
+            .retain(|_, at| now < *at + LOAD_PERMIT_TTL * 2);
+        self.received_permits.insert(permit, now).is_none()
     }
 }
 
-/// Where a load could go.
-enum Site {
-    /// Into a free slot.
+/// The slot that a load can use.
+enum LoadSite {
+    /// A free slot of the engine.
     Free(TargetId),
-    /// In place of an adapter that nothing uses.
+    /// The slot of an unused adapter, which is evicted first.
     Replace(TargetId, AdapterRef),
 }
 
-impl Site {
+impl LoadSite {
     const fn target(&self) -> &TargetId {
         match self {
             Self::Free(target) | Self::Replace(target, _) => target,
@@ -69,347 +71,396 @@
     }
 }
 
-/// A load that the queue asks for.
-struct Want {
+/// A load that queued requests need.
+struct WantedLoad {
     workspace: WorkspaceId,
     adapter: AdapterRef,
     urgent: bool,
-    bound: Option<TargetId>,
-    evicts: bool,
-    /// It is resident already, where there is no place.
-    copy: bool,
+    assigned_engine: Option<TargetId>,
+    may_evict: bool,
+    /// Whether the adapter is already resident, on engines without a free batch slot.
+    is_copy: bool,
 }
 
-impl GroupHome {
-    /// Asks for load permits for what waits for a load.
-    pub(super) fn load(&mut self, io: &mut Io<'_, '_>) {
+impl GroupOwner {
+    /// Requests load permits for the loads that queued requests need.
+    pub(super) fn request_loads(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        let wants = self.wants(now);
-        let mut counts = (0, 0);
+        let wanted_loads = self.wanted_loads(now);
+        let mut wanted_counts = (0, 0);
         let mut sites = BTreeSet::new();
         let mut unserved = Vec::new();
-        for want in wants {
-            let Some(site) = self.site(io, &want, &sites) else {
-                unserved.push(want);
+        for wanted in wanted_loads {
+            let Some(site) = self.find_site(io, &wanted, &sites) else {
+                unserved.push(wanted);
                 continue;
             };
-            if want.urgent {
-                counts.0 += 1;
+            if wanted.urgent {
+                wanted_counts.0 += 1;
             } else {
-                counts.1 += 1;
+                wanted_counts.1 += 1;
             }
             sites.insert(site.target().clone());
-            if self.is_drained(&site) {
-                unserved.push(want);
+            if self.replaces_draining(&site) {
+                unserved.push(wanted);
             }
         }
-        self.drain_for(&unserved, now);
-        self.tell_demand(io, counts);
+        self.drain_slots_for(&unserved, now);
+        self.send_demand(io, wanted_counts);
         self.load_without_permit(io);
     }
 
-    fn is_drained(&self, site: &Site) -> bool {
-        let Site::Replace(target, victim) = site else {
+    fn replaces_draining(&self, site: &LoadSite) -> bool {
+        let LoadSite::Replace(target, victim) = site else {
             return false;
         };
         let engine = self.engines.get(target);
         engine
             .and_then(|engine| engine.slots.get(victim))
-            .is_some_and(|slot| slot.draining)
+            .is_some_and(|slot| slot.is_draining)
     }
 
-    /// Adapters that wait for a load, in the queue's order.
-    fn wants(&self, now: Time) -> Vec<Want> {
+    /// Returns the loads that queued requests need, in the queue's order.
+    fn wanted_loads(&self, now: Time) -> Vec<WantedLoad> {
         let mut seen = BTreeSet::new();
-        let mut wants = Vec::new();
-        let loads_possible = self
+        let mut wanted_loads = Vec::new();
+        let can_load_any = self
             .engines
             .values()
-            .any(|engine| engine.is_open() && now >= engine.load_from);
-        if !loads_possible {
-            return wants;
+            .any(|engine| engine.accepts_requests() && now >= engine.loads_allowed_from);
+        if !can_load_any {
+            return wanted_loads;
         }
-        for (_, waiting) in self.queue.iter() {
-            let adapter = &waiting.ask.adapter;
-            if !seen.insert((adapter, waiting.bound.as_ref())) {
+        for (_, queued) in self.queue.iter() {
+            let adapter = &queued.request.adapter;
+            if !seen.insert((adapter, queued.assigned_engine.as_ref())) {
                 continue;
             }
-            let copy = self.is_at_hand(adapter, waiting.bound.as_ref());
-            if copy && !self.needs_copy(adapter, waiting.bound.as_ref(), now) {
+            let is_copy = self.is_resident_or_loading(adapter, queued.assigned_engine.as_ref());
+            if is_copy && !self.needs_copy(adapter, queued.assigned_engine.as_ref(), now) {
                 continue;
             }
-            wants.push(Want {
-                workspace: waiting.ask.workspace.clone(),
-                copy,
+            wanted_loads.push(WantedLoad {
+                workspace: queued.request.workspace.clone(),
+                is_copy,
                 adapter: adapter.clone(),
-                urgent: waiting.ask.urgent,
-                bound: waiting.bound.clone(),
-                evicts: waiting.evicts_from <= now,
+                urgent: queued.request.urgent,
+                assigned_engine: queued.assigned_engine.clone(),
+                may_evict: queued.eviction_allowed_from <= now,
             });
-            if wants.len() >= self.engines.len() {
+            if wanted_loads.len() >= self.engines.len() {
                 break;
             }
         }
-        wants
+        wanted_loads
     }
 
-    /// Whether the adapter is resident, or will be without another load.
-    fn is_at_hand(&self, adapter: &AdapterRef, bound: Option<&TargetId>) -> bool {
-        let planned = self
+    /// Whether the adapter is resident, or will be without a further load permit.
+    fn is_resident_or_loading(
+        &self,
+        adapter: &AdapterRef,
+        assigned_engine: Option<&TargetId>,
+    ) -> bool {
+        let is_planned = self
             .loading
-            .planned
+            .planned_loads
             .iter()
-            .any(|(target, (next, _))| next == adapter && bound.is_none_or(|id| id == target));
-        planned
+            .any(|(target, (adapter_to_load, _))| {
+                adapter_to_load == adapter && assigned_engine.is_none_or(|id| id == target)
+            });
+        is_planned
             || self
                 .engines
                 .values()
-                .filter(|engine| bound.is_none_or(|id| *id == engine.id))
-                .filter(|engine| engine.is_open())
+                .filter(|engine| assigned_engine.is_none_or(|id| *id == engine.id))
+                .filter(|engine| engine.accepts_requests())
                 .any(|engine| match engine.slots.get(adapter) {
                     None => false,
                     Some(slot) => match slot.state {
-                        SlotState::Resident | SlotState::Loading | SlotState::Doubtful(_) => true,
+                        SlotState::Resident | SlotState::Loading | SlotState::Uncertain(_) => true,
                         SlotState::Unloading => false,
                     },
                 })
     }
 
-    /// Whether an adapter's queue is worth a second engine: those that hold it are full, and others
-    /// are not.
-    fn needs_copy(&self, adapter: &AdapterRef, bound: Option<&TargetId>, now: Time) -> bool {
-        if bound.is_some() || self.queue.demand(adapter).waiting < COPY_WAITING {
+    /// Whether an adapter should be loaded on a further engine: enough requests wait for it, all
+    /// engines that hold it are full, and another engine has free batch slots.
+    fn needs_copy(
+        &self,
+        adapter: &AdapterRef,
+        assigned_engine: Option<&TargetId>,
+        now: Time,
+    ) -> bool {
+        if assigned_engine.is_some() || self.queue.demand(adapter).waiting < MIN_WAITING_FOR_COPY {
             return false;
         }
-        let open = || self.engines.values().filter(|engine| engine.is_open());
-        let full = open().all(|engine| match engine.slots.get(adapter) {
+        let accepting = || {
+            self.engines
+                .values()
+                .filter(|engine| engine.accepts_requests())
+        };
+        let all_full = accepting().all(|engine| match engine.slots.get(adapter) {
             None => true,
-            Some(slot) => slot.is_resident() && engine.free_places() == 0,
+            Some(slot) => slot.is_resident() && engine.free_batch_slots() == 0,
         });
-        full && open().any(|engine| self.takes_copy(engine) && engine.may_load(adapter, now))
+        all_full
+            && accepting().any(|engine| self.can_take_copy(engine) && engine.can_load(adapter, now))
     }
 
-    fn takes_copy(&self, engine: &Engine) -> bool {
-        engine.free_places() >= COPY_PLACES && !self.loading.planned.contains_key(&engine.id)
+    fn can_take_copy(&self, engine: &Engine) -> bool {
+        engine.free_batch_slots() >= MIN_FREE_BATCH_SLOTS_FOR_COPY
+            && !self.loading.planned_loads.contains_key(&engine.id)
     }
 
-    fn site(&self, io: &Io<'_, '_>, want: &Want, taken: &BTreeSet<TargetId>) -> Option<Site> {
+    /// Returns the slot for a load on an engine outside `excluded`: a free slot if there is one,
+    /// else the slot of the least popular adapter that can be evicted.
+    fn find_site(
+        &self,
+        io: &Io<'_, '_>,
+        wanted: &WantedLoad,
+        excluded: &BTreeSet<TargetId>,
+    ) -> Option<LoadSite> {
         let now = io.now();
         let possible: Vec<&Engine> = self
             .engines
             .values()
-            .filter(|engine| want.bound.as_ref().is_none_or(|id| *id == engine.id))
-            .filter(|engine| !taken.contains(&engine.id))
-            .filter(|engine| !self.loading.planned.contains_key(&engine.id))
-            .filter(|engine| engine.may_load(&want.adapter, now))
-            .filter(|engine| !want.copy || self.takes_copy(engine))
+            .filter(|engine| {
+                wanted
+                    .assigned_engine
+                    .as_ref()
+                    .is_none_or(|id| *id == engine.id)
+            })
+            .filter(|engine| !excluded.contains(&engine.id))
+            .filter(|engine| !self.loading.planned_loads.contains_key(&engine.id))
+            .filter(|engine| engine.can_load(&wanted.adapter, now))
+            .filter(|engine| !wanted.is_copy || self.can_take_copy(engine))
             .collect();
         let free = possible
             .iter()
             .filter(|engine| engine.free_slots() > 0)
-            .max_by_key(|engine| (engine.free_places(), engine.free_slots(), &engine.id));
+            .max_by_key(|engine| (engine.free_batch_slots(), engine.free_slots(), &engine.id));
         if let Some(engine) = free {
-            return Some(Site::Free(engine.id.clone()));
+            return Some(LoadSite::Free(engine.id.clone()));
         }
-        if !want.evicts {
+        if !wanted.may_evict {
             return None;
         }
         possible
             .iter()
             .filter(|engine| engine.free_slots() == 0)
             .filter_map(|engine| self.victim(engine, now).map(|victim| (engine, victim)))
-            .min_by_key(|(engine, (worth, _))| (*worth, engine.permits()))
-            .map(|(engine, (_, adapter))| Site::Replace(engine.id.clone(), adapter.clone()))
+            .min_by_key(|(engine, (popularity, _))| (*popularity, engine.permits()))
+            .map(|(engine, (_, adapter))| LoadSite::Replace(engine.id.clone(), adapter.clone()))
     }
 
-    /// The least wanted adapter whose slot may be emptied.
+    /// Returns the least popular adapter that can be evicted, with its popularity.
     fn victim<'a>(&self, engine: &'a Engine, now: Time) -> Option<(u64, &'a AdapterRef)> {
         engine
             .slots
             .iter()
-            .filter(|(adapter, slot)| self.may_evict(engine, adapter, slot, now))
+            .filter(|(adapter, slot)| self.can_evict(engine, adapter, slot, now))
             .map(|(adapter, slot)| (self.popularity.score(adapter, now), slot.last_used, adapter))
             .min()
-            .map(|(worth, _, adapter)| (worth, adapter))
+            .map(|(popularity, _, adapter)| (popularity, adapter))
     }
 
-    /// Whether nothing uses, or is about to use, an adapter.
+    /// Whether an adapter can be evicted: nothing uses it or is about to use it.
     ///
-    /// Guards against an unload that breaks off what runs: no permit is out, a report asked after
-    /// the last one ended shows no use, and after a takeover that report was asked when no life
-    /// outside the map could send any more.
-    fn may_evict(&self, engine: &Engine, adapter: &AdapterRef, slot: &Slot, now: Time) -> bool {
-        let Some(tenure) = &self.tenure else {
+    /// Guards against an unload that interrupts running requests. No permit is outstanding, and a
+    /// report requested after the last permit ended shows no use. After a takeover that report must
+    /// have been requested when no incarnation outside the map could send requests any more.
+    fn can_evict(&self, engine: &Engine, adapter: &AdapterRef, slot: &Slot, now: Time) -> bool {
+        let Some(takeover) = &self.takeover else {
             return false;
         };
-        let Some(settled) = tenure.settled_from() else {
+        let Some(reports_complete_from) = takeover.reports_complete_from() else {
             return false;
         };
-        tenure.knows_permits()
-            && engine.uses(adapter) == 0
-            && (slot.draining || self.queue.demand(adapter).waiting == 0)
-            && slot.is_settled_in(now)
-            && slot.is_proved_idle(settled)
+        takeover.knows_all_permits()
+            && engine.permits_for(adapter) == 0
+            && (slot.is_draining || self.queue.demand(adapter).waiting == 0)
+            && slot.has_min_residence(now)
+            && slot.is_confirmed_idle(reports_complete_from)
     }
 
-    /// Stops letting requests in on one adapter of an engine where a request waits too long for a
-    /// load: under overload every resident adapter has work, and others would starve.
-    fn drain_for(&mut self, wants: &[Want], now: Time) {
-        if wants.is_empty() {
+    /// Stops granting permits for one adapter of an engine when a request has waited too long for a
+    /// load. Under overload every resident adapter has queued requests, so the others would starve.
+    fn drain_slots_for(&mut self, wanted_loads: &[WantedLoad], now: Time) {
+        if wanted_loads.is_empty() {
             for engine in self.engines.values_mut() {
                 engine
                     .slots
                     .values_mut()
-                    .for_each(|slot| slot.draining = false);
+                    .for_each(|slot| slot.is_draining = false);
             }
             return;
         }
-        for want in wants.iter().filter(|want| want.evicts && !want.copy) {
-            let waits_long = self
-                .queue
-                .iter()
-                .any(|(_, it)| it.ask.adapter == want.adapter && it.since + DRAIN_AFTER <= now);
-            if waits_long {
-                self.drain_one(want, now);
+        for wanted in wanted_loads
+            .iter()
+            .filter(|wanted| wanted.may_evict && !wanted.is_copy)
+        {
+            let waits_too_long = self.queue.iter().any(|(_, queued)| {
+                queued.request.adapter == wanted.adapter
+                    && queued.queued_at + DRAIN_THRESHOLD <= now
+            });
+            if waits_too_long {
+                self.drain_one_slot(wanted, now);
             }
         }
     }
 
-    fn drain_one(&mut self, want: &Want, now: Time) {
+    fn drain_one_slot(&mut self, wanted: &WantedLoad, now: Time) {
         let engines = self
             .engines
             .values()
-            .filter(|engine| want.bound.as_ref().is_none_or(|id| *id == engine.id))
-            .filter(|engine| engine.may_load(&want.adapter, now) && engine.free_slots() == 0);
-        let mut choices = Vec::new();
+            .filter(|engine| {
+                wanted
+                    .assigned_engine
+                    .as_ref()
+                    .is_none_or(|id| *id == engine.id)
+            })
+            .filter(|engine| engine.can_load(&wanted.adapter, now) && engine.free_slots() == 0);
+        let mut candidates = Vec::new();
         for engine in engines {
-            if engine.slots.values().any(|slot| slot.draining) {
+            if engine.slots.values().any(|slot| slot.is_draining) {
                 return;
             }
-            let settled = engine
+            let evictable = engine
                 .slots
                 .iter()
-                .filter(|(_, slot)| slot.is_settled_in(now));
-            for (adapter, _) in settled {
-                let busy = engine.uses(adapter) + self.queue.demand(adapter).waiting;
-                let worth = self.popularity.score(adapter, now);
-                choices.push((busy, worth, engine.id.clone(), adapter.clone()));
+                .filter(|(_, slot)| slot.has_min_residence(now));
+            for (adapter, _) in evictable {
+                let busy = engine.permits_for(adapter) + self.queue.demand(adapter).waiting;
+                let popularity = self.popularity.score(adapter, now);
+                candidates.push((busy, popularity, engine.id.clone(), adapter.clone()));
             }
         }
-        let Some((_, _, target, adapter)) = choices.into_iter().min() else {
+        let Some((_, _, target, adapter)) = candidates.into_iter().min() else {
             return;
         };
         let engine = self.engines.get_mut(&target);
         if let Some(slot) = engine.and_then(|engine| engine.slots.get_mut(&adapter)) {
-            slot.draining = true;
+            slot.is_draining = true;
         }
     }
 
-    fn tell_demand(&mut self, io: &mut Io<'_, '_>, counts: (u32, u32)) {
+    fn send_demand(&mut self, io: &mut Io<'_, '_>, wanted_counts: (u32, u32)) {
         let now = io.now();
         let loading = &mut self.loading;
-        let idle = counts == (0, 0) && loading.held.is_empty();
-        let due = now >= loading.sent_at + DEMAND_REFRESH && !idle;
-        let changed = counts != loading.sent && now >= loading.sent_at + DEMAND_INTERVAL;
-        let Some(home) = io.cx.own.home(&HomeKey::WeightStore).cloned() else {
+        let is_idle = wanted_counts == (0, 0) && loading.held_permits.is_empty();
+        let is_due = now >= loading.demand_sent_at + DEMAND_REFRESH_INTERVAL && !is_idle;
+        let has_changed = wanted_counts != loading.sent_counts
+            && now >= loading.demand_sent_at + MIN_DEMAND_INTERVAL;
+        let Some(owner) = io.cx.own.home(&HomeKey::WeightStore).cloned() else {
             return;
         };
-        if !due && !changed {
+        if !is_due && !has_changed {
             return;
         }
         loading.sequence += 1;
-        loading.sent = counts;
-        loading.sent_at = now;
-        loading.demands.push_back((loading.sequence, now));
+        loading.sent_counts = wanted_counts;
+        loading.demand_sent_at = now;
+        loading.sent_demands.push_back((loading.sequence, now));
         while loading
-            .demands
+            .sent_demands
             .front()
-            .is_some_and(|(_, at)| *at + LOAD_START <= now)
+            .is_some_and(|(_, at)| *at + LOAD_PERMIT_TTL <= now)
         {
-            loading.demands.pop_front();
+            loading.sent_demands.pop_front();
         }
         let demand = LoadDemand {
             group: self.id.clone(),
             sequence: loading.sequence,
-            urgent: counts.0,
-            batch: counts.1,
-            loading: loading.held.keys().copied().collect(),
+            urgent: wanted_counts.0,
+            batch: wanted_counts.1,
+            loading: loading.held_permits.keys().copied().collect(),
         };
-        io.send(&home, EnginesMessage::LoadDemand(demand));
+        io.send(&owner, EnginesMessage::LoadDemand(demand));
     }
 
-    /// A load permit came: used for what is wanted most now, or handed back.
+    /// Uses a received load permit for the first wanted load, or returns it unused.
     ///
-    /// One that answers a demand sent longer than `LOAD_START` ago, or that comes from a former home
-    /// of the store, is not used: the store's limits would be exceeded by loads that its home no
-    /// longer counts.
-    pub(super) fn may_load(
+    /// A permit is ignored if it answers a demand sent `LOAD_PERMIT_TTL` ago or earlier, or if it
+    /// comes from a former owner of the store: the store's owner no longer counts it, so its load
+    /// could exceed the store's limits.
+    pub(super) fn handle_load_permit(
         &mut self,
         io: &mut Io<'_, '_>,
         from: &InstanceId,
         sequence: u64,
-        permit: PermitRef,
+        permit: PermitId,
     ) {
         let now = io.now();
-        let asked_for = self.loading.demands.iter().find(|(it, _)| *it == sequence);
-        let current = io.cx.own.home(&HomeKey::WeightStore) == Some(from)
-            && permit.revision >= self.loading.newest;
-        let use_before = match asked_for {
-            Some((_, at)) if current && now < *at + LOAD_START => *at + LOAD_START,
+        let demand_sent = self
+            .loading
+            .sent_demands
+            .iter()
+            .find(|(sent, _)| *sent == sequence);
+        let is_current = io.cx.own.home(&HomeKey::WeightStore) == Some(from)
+            && permit.revision >= self.loading.newest_revision;
+        let use_before = match demand_sent {
+            Some((_, at)) if is_current && now < *at + LOAD_PERMIT_TTL => *at + LOAD_PERMIT_TTL,
             _ => return,
         };
-        if !self.loading.first_time(permit, now) {
+        if !self.loading.record_receipt(permit, now) {
             return;
         }
-        self.loading.newest = permit.revision;
+        self.loading.newest_revision = permit.revision;
         if !self.use_load_permit(io, permit, use_before) {
-            self.hand_back(io, permit, false);
+            self.release_load_permit(io, permit, false);
         }
-        self.loading.sent = (u32::MAX, u32::MAX);
+        self.loading.sent_counts = (u32::MAX, u32::MAX);
     }
 
+    /// Orders the first wanted load under a load permit; returns false if there is none.
     pub(super) fn use_load_permit(
         &mut self,
         io: &mut Io<'_, '_>,
-        permit: PermitRef,
-        before: Time,
+        permit: PermitId,
+        use_before: Time,
     ) -> bool {
         let now = io.now();
         if !io.cx.own.acts(now, &self.key) {
             return false;
         }
-        let none = BTreeSet::new();
-        let found = self
-            .wants(now)
-            .into_iter()
-            .find_map(|want| self.site(io, &want, &none).map(|site| (want, site)));
-        let Some((want, site)) = found else {
+        let no_exclusions = BTreeSet::new();
+        let found = self.wanted_loads(now).into_iter().find_map(|wanted| {
+            self.find_site(io, &wanted, &no_exclusions)
+                .map(|site| (wanted, site))
+        });
+        let Some((wanted, site)) = found else {
             return false;
         };
-        self.loading.held.insert(permit, before);
-        self.queue.charge(&want.workspace, want.urgent, LOAD_COST);
+        self.loading.held_permits.insert(permit, use_before);
+        self.queue
+            .charge(&wanted.workspace, wanted.urgent, LOAD_COST);
         match site {
-            Site::Free(target) => self.order_load(io, &target, want.adapter, permit),
-            Site::Replace(target, victim) => {
+            LoadSite::Free(target) => self.order_load(io, &target, wanted.adapter, permit),
+            LoadSite::Replace(target, victim) => {
                 self.loading
-                    .planned
-                    .insert(target.clone(), (want.adapter, permit));
+                    .planned_loads
+                    .insert(target.clone(), (wanted.adapter, permit));
                 self.order_unload(io, &target, victim);
             }
         }
         true
     }
 
-    pub(super) fn hand_back(&mut self, io: &mut Io<'_, '_>, permit: PermitRef, used: bool) {
-        self.loading.held.remove(&permit);
-        let Some(home) = io.cx.own.home(&HomeKey::WeightStore).cloned() else {
+    pub(super) fn release_load_permit(
+        &mut self,
+        io: &mut Io<'_, '_>,
+        permit: PermitId,
+        used: bool,
+    ) {
+        self.loading.held_permits.remove(&permit);
+        let Some(owner) = io.cx.own.home(&HomeKey::WeightStore).cloned() else {
             return;
         };
-        let message = EnginesMessage::Loaded {
+        let message = EnginesMessage::LoadPermitReleased {
             group: self.id.clone(),
             permit,
             used,
         };
-        io.send(&home, message);
+        io.send(&owner, message);
     }
 }
--- a/crates/core/src/engines/message.rs
+++ b/crates/core/src/engines/message.rs
@@ -1,4 +1,5 @@
-//! What the home of an engine group, the weight store's home and callers' instances say.
+//! Messages between the owners of engine groups, the weight store's owner and the callers'
+//! instances.
 
 use std::net::SocketAddr;
 
@@ -6,210 +7,212 @@
 
 use crate::{AdapterRef, GroupId, Incarnation, Refusal, Revision, TargetId};
 
-use super::{PermitAsk, PermitEnd};
+use super::{PermitEnd, PermitRequest};
 
-/// Number of an ask, unique within one life of the instance that asks.
+/// Number of a permit request, unique within one incarnation of the requesting instance.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(transparent)]
-pub struct AskNumber(pub u64);
+pub struct PermitRequestNumber(pub u64);
 
-/// Names one permit among all that a group's homes ever granted.
+/// Identifies a permit among all that the owners of a group have granted.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
-pub struct PermitRef {
-    /// The map's revision when it was granted.
+pub struct PermitId {
+    /// The map's revision when the permit was granted.
     pub revision: Revision,
-    /// Rises with each permit of one life of a home.
+    /// Increases with each permit of one incarnation of an owner.
     pub number: u64,
 }
 
-/// How loaded a group is; comes with every answer of its home.
+/// Utilization of a group; part of the owner's responses to permit requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct GroupStatus {
-    /// Requests that wait for a place in an engine that holds their adapter.
-    pub waiting: u32,
+    /// Requests that wait for a batch slot of an engine that holds their adapter.
+    pub waiting_for_batch_slot: u32,
     /// Requests that wait for a load.
-    pub stalled: u32,
-    /// Permits outstanding.
+    pub waiting_for_load: u32,
+    /// Outstanding permits.
     pub running: u32,
-    /// Places in the batches of its engines that take new work.
-    pub places: u32,
-    /// Slots that nothing holds and nothing waits for.
+    /// Batch slots of the group's engines that take new requests.
+    pub batch_slots: u32,
+    /// Adapter slots that are free and not needed by a waiting load.
     pub free_slots: u32,
 }
 
-/// Which adapters a group holds; only a hint for whom to ask.
+/// The adapters that a group holds; only a hint for the choice of a group.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Residency {
-    /// `came` is all that the group holds, not only what is new.
-    pub whole: bool,
-    /// Adapters that are resident now, or being loaded.
-    pub came: Vec<AdapterRef>,
-    /// Adapters that no longer are.
-    pub gone: Vec<AdapterRef>,
+    /// Whether `added` lists all adapters that the group holds, not only new ones.
+    pub is_complete: bool,
+    /// Adapters that are now resident or being loaded.
+    pub added: Vec<AdapterRef>,
+    /// Adapters that no longer are resident or being loaded.
+    pub removed: Vec<AdapterRef>,
 }
 
-/// A request to be queued by a group's home.
+/// A request to be queued by a group's owner.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub struct QueueAsk {
-    /// Number of the ask.
-    pub number: AskNumber,
-    /// The life that asks.
+pub struct EnqueueRequest {
+    /// Number of the permit request.
+    pub number: PermitRequestNumber,
+    /// Incarnation of the requesting instance.
     pub incarnation: Incarnation,
-    /// The group asked.
+    /// The group whose owner queues the request.
     pub group: GroupId,
-    /// The request.
-    pub ask: PermitAsk,
-    /// It comes here only because the home of its first choice can't be reached.
-    pub stray: bool,
+    /// The permit request.
+    pub request: PermitRequest,
+    /// Whether the request is sent to this group only because the owner of its first choice is
+    /// unreachable.
+    pub is_fallback: bool,
 }
 
-/// A permit on its way to the instance that asked.
+/// A permit granted to the requesting instance.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Grant {
-    /// The ask that it answers.
-    pub number: AskNumber,
-    /// The life that asked.
+    /// The permit request that is granted.
+    pub number: PermitRequestNumber,
+    /// Incarnation of the requesting instance.
     pub incarnation: Incarnation,
-    /// The group that grants.
+    /// The group of the permit.
     pub group: GroupId,
-    /// The permit's name.
-    pub permit: PermitRef,
-    /// Which engine.
+    /// The permit's id.
+    pub permit: PermitId,
+    /// The engine.
     pub target: TargetId,
-    /// Where it listens.
+    /// The engine's address.
     pub address: SocketAddr,
-    /// How loaded the group is.
+    /// The group's utilization.
     pub status: GroupStatus,
 }
 
-/// A permit that an instance holds, as it tells a new home.
+/// A permit that an instance holds, as reported to a new owner.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct HeldPermit {
-    /// The permit's name.
-    pub permit: PermitRef,
-    /// Which engine.
+    /// The permit's id.
+    pub permit: PermitId,
+    /// The engine.
     pub target: TargetId,
-    /// What runs.
+    /// The adapter in use.
     pub adapter: AdapterRef,
 }
 
-/// What a group's home wants of the weight store; the newest replaces all earlier.
+/// The loads that a group's owner wants from the weight store; each demand replaces the earlier
+/// ones.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct LoadDemand {
     /// The group.
     pub group: GroupId,
-    /// Rises with each demand of one life.
+    /// Increases with each demand of one incarnation.
     pub sequence: u64,
-    /// Loads wanted for requests that someone waits for.
+    /// Loads wanted for urgent requests.
     pub urgent: u32,
     /// Other loads wanted.
     pub batch: u32,
-    /// Load permits in use or not yet used.
-    pub loading: Vec<PermitRef>,
+    /// Load permits in use or not used yet.
+    pub loading: Vec<PermitId>,
 }
 
-/// Permits to use engines and to load adapters.
+/// A message about permits to use engines or to load adapters.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum EnginesMessage {
-    /// Queue a request; sent again with the same number until it is answered.
-    Ask(Box<QueueAsk>),
-    /// The ask is in the queue.
+    /// Queues a request; repeated with the same number until there is a response.
+    Enqueue(Box<EnqueueRequest>),
+    /// The request is in the queue.
     Queued {
-        /// Which ask.
-        number: AskNumber,
-        /// Of which group.
+        /// Number of the permit request.
+        number: PermitRequestNumber,
+        /// The group.
         group: GroupId,
-        /// How loaded the group is.
+        /// The group's utilization.
         status: GroupStatus,
     },
-    /// The ask is not in the queue, and won't be: ask another group.
-    TurnedAway {
-        /// Which ask.
-        number: AskNumber,
-        /// Of which group.
+    /// The request was not queued; the sender should try another group.
+    Rejected {
+        /// Number of the permit request.
+        number: PermitRequestNumber,
+        /// The group.
         group: GroupId,
-        /// Why.
+        /// Reason.
         refusal: Refusal,
     },
-    /// The ask is void.
+    /// The request is cancelled.
     Cancel {
-        /// Of which group.
+        /// The group.
         group: GroupId,
-        /// The life that asked.
+        /// Incarnation of the requesting instance.
         incarnation: Incarnation,
-        /// Which ask.
-        number: AskNumber,
+        /// Number of the permit request.
+        number: PermitRequestNumber,
     },
-    /// A permit; sent again until it is taken or ended.
+    /// Grants a permit; repeated until the permit is accepted or ended.
     Grant(Box<Grant>),
-    /// The grant arrived and its permit is held.
-    Taken {
-        /// Of which group.
+    /// The grant was received and its permit is held.
+    Accepted {
+        /// The group.
         group: GroupId,
-        /// Which permit.
-        permit: PermitRef,
+        /// The permit.
+        permit: PermitId,
     },
-    /// A permit's use ended; sent again until it is noted.
-    Ended {
-        /// Of which group.
+    /// The use of a permit ended; repeated until it is acknowledged.
+    PermitEnded {
+        /// The group.
         group: GroupId,
-        /// Which permit.
-        permit: PermitRef,
-        /// How.
+        /// The permit.
+        permit: PermitId,
+        /// How the use ended.
         end: PermitEnd,
     },
-    /// The end is noted.
-    EndNoted {
-        /// Of which group.
+    /// Acknowledges the end of a permit.
+    EndAcknowledged {
+        /// The group.
         group: GroupId,
-        /// Which permit.
-        permit: PermitRef,
+        /// The permit.
+        permit: PermitId,
     },
-    /// A new home asks what the receiver holds.
-    WhichPermits {
-        /// Of which group.
+    /// A new owner queries the permits that the receiver holds.
+    QueryHeldPermits {
+        /// The group.
         group: GroupId,
-        /// The revision under which the sender is home.
+        /// The revision under which the sender is the owner.
         revision: Revision,
     },
-    /// All permits of a group that the sender holds or could still take.
-    Holding {
-        /// Of which group.
+    /// Reports all permits of a group that the sender holds.
+    HeldPermits {
+        /// The group.
         group: GroupId,
-        /// The revision of the question.
+        /// The revision of the query.
         revision: Revision,
-        /// The life that answers.
+        /// Incarnation of the responding instance.
         incarnation: Incarnation,
-        /// What it holds; it takes no permit older than `revision` from now on.
+        /// The held permits; the sender accepts no permit older than `revision` from now on.
         permits: Vec<HeldPermit>,
     },
-    /// How loaded a group is, to instances that asked lately.
+    /// Sends a group's status to its subscribers, the instances that recently sent requests.
     Status {
-        /// Which group.
+        /// The group.
         group: GroupId,
-        /// How loaded it is.
+        /// The group's utilization.
         status: GroupStatus,
-        /// What it holds.
+        /// The adapters that the group holds.
         residency: Residency,
     },
-    /// What a group wants of the weight store.
+    /// The loads that a group wants from the weight store.
     LoadDemand(LoadDemand),
-    /// A permit to load one adapter.
-    MayLoad {
-        /// For which group.
+    /// Grants a permit to load one adapter.
+    LoadPermit {
+        /// The group that may load.
         group: GroupId,
-        /// The demand that it answers.
+        /// Sequence number of the demand that is answered.
         sequence: u64,
-        /// The load permit's name.
-        permit: PermitRef,
+        /// The load permit's id.
+        permit: PermitId,
     },
-    /// A load permit is no longer needed.
-    Loaded {
-        /// Of which group.
+    /// Releases a load permit.
+    LoadPermitReleased {
+        /// The group.
         group: GroupId,
-        /// Which load permit.
-        permit: PermitRef,
-        /// False when it was handed back unused.
+        /// The load permit.
+        permit: PermitId,
+        /// Whether the permit was used; false if it is returned unused.
         used: bool,
     },
 }
--- a/crates/core/src/engines/mod.rs
+++ b/crates/core/src/engines/mod.rs
@@ -1,37 +1,37 @@
 //! Engines: placement, queues, permits and loading.
 //!
-//! A group of engines (see [`crate::Grouping`]) has one home, which alone orders loads and unloads
-//! on them and lets requests in. The instance that holds the caller asks the home for a permit and
-//! then streams from the engine itself.
+//! A group of engines (see [`crate::Grouping`]) has one owner, which alone orders loads and unloads
+//! on them and grants permits for requests. The instance with the caller's connection requests a
+//! permit from the owner and then streams from the engine itself.
 
-mod ask;
 mod candidates;
+mod client;
+mod client_permits;
 mod core;
 mod engine;
-mod entry;
+mod fallback_loads;
 mod granting;
-mod home;
 mod io;
 mod loading;
 mod message;
-mod news;
 mod orders;
+mod owner;
+mod permit;
 mod popularity;
 mod queue;
 mod slot;
-mod store;
+mod status;
+mod store_owner;
 mod summary;
-mod taking;
+mod takeover;
 mod targets;
-mod tenure;
 mod timing;
-mod unpermitted;
 mod view;
 
-pub use self::ask::{Permit, PermitAsk, PermitDecision, PermitEnd};
 pub use self::core::Engines;
 pub use self::message::{
-    AskNumber, EnginesMessage, Grant, GroupStatus, HeldPermit, LoadDemand, PermitRef, QueueAsk,
-    Residency,
+    EnginesMessage, EnqueueRequest, Grant, GroupStatus, HeldPermit, LoadDemand, PermitId,
+    PermitRequestNumber, Residency,
 };
+pub use self::permit::{Permit, PermitDecision, PermitEnd, PermitRequest};
 pub use self::summary::{EngineSummary, GroupSchedule, GroupSummary};
--- a/crates/core/src/engines/orders.rs
+++ b/crates/core/src/engines/orders.rs
@@ -1,30 +1,33 @@
-//! Orders to engines and what becomes of them.
+//! Orders to engines and the handling of their outcomes.
 
 use crate::{
     Action, AdapterId, AdapterRef, AdapterVersion, Notice, OrderId, OrderOutcome, TargetId,
     TargetOrderKind, Time,
 };
 
-use super::PermitRef;
-use super::engine::{Fence, Presence};
-use super::home::{GroupHome, OrderPurpose, PendingOrder};
+use super::PermitId;
+use super::engine::{Availability, FenceState};
 use super::io::Io;
+use super::owner::{GroupOwner, OrderPurpose, PendingOrder};
 use super::slot::{Slot, SlotState};
-use super::timing::{FLIGHT, IDLE_AFTER, IDLE_REPORT_FACTOR, LOAD_BACKOFF, REPORT_LAG};
+use super::timing::{
+    IDLE_REPORT_FACTOR, IDLE_THRESHOLD, LOAD_BACKOFF, MAX_DELIVERY_DELAY, MAX_REPORT_AGE,
+};
 
-/// Name in the order that only raises an engine's fencing number; no catalogue entry has version 0.
+/// Adapter name in the unload order that only raises an engine's fencing number. The order has
+/// version 0, which no catalogue entry has.
 const FENCE_ADAPTER: &str = "bluebellstage-fence";
 
-/// How many times longer than the engine an adapter whose load failed there stays away from it.
+/// Factor by which an adapter's backoff on an engine after a failed load exceeds the engine's own.
 const ADAPTER_BACKOFF_FACTOR: u32 = 8;
 
-impl GroupHome {
+impl GroupOwner {
     pub(super) fn order_load(
         &mut self,
         io: &mut Io<'_, '_>,
         target: &TargetId,
         adapter: AdapterRef,
-        permit: PermitRef,
+        permit: PermitId,
     ) {
         let now = io.now();
         let Some(engine) = self.engines.get_mut(target) else {
@@ -32,10 +35,10 @@
         };
         let slot = Slot::new(SlotState::Loading, now);
         engine.slots.insert(adapter.clone(), slot);
-        let id = io.order(engine, TargetOrderKind::Load(adapter.clone()));
+        let id = io.send_order(engine, TargetOrderKind::Load(adapter.clone()));
         let notice = Notice::LoadOrdered(target.clone(), adapter.clone());
         io.cx.out.push(Action::Notice(notice));
-        self.note_order(id, target, now, OrderPurpose::Load { adapter, permit });
+        self.track_order(id, target, now, OrderPurpose::Load { adapter, permit });
     }
 
     pub(super) fn order_unload(
@@ -49,24 +52,24 @@
             return;
         };
         if let Some(slot) = engine.slots.get_mut(&adapter) {
-            slot.set(SlotState::Unloading, now);
+            slot.set_state(SlotState::Unloading, now);
         }
-        let id = io.order(engine, TargetOrderKind::Unload(adapter.clone()));
+        let id = io.send_order(engine, TargetOrderKind::Unload(adapter.clone()));
         let notice = Notice::Evicted(target.clone(), adapter.clone());
         io.cx.out.push(Action::Notice(notice));
-        self.note_order(id, target, now, OrderPurpose::Unload { adapter });
+        self.track_order(id, target, now, OrderPurpose::Unload { adapter });
     }
 
-    fn note_order(&mut self, id: OrderId, target: &TargetId, now: Time, purpose: OrderPurpose) {
+    fn track_order(&mut self, id: OrderId, target: &TargetId, now: Time, purpose: OrderPurpose) {
         let order = PendingOrder {
             target: target.clone(),
-            sent: now,
+            sent_at: now,
             purpose,
         };
         self.orders.insert(id, order);
     }
 
-    /// An order of this home ended.
+    /// Handles the outcome of an order of this owner.
     pub(super) fn order_ended(&mut self, io: &mut Io<'_, '_>, id: OrderId, outcome: OrderOutcome) {
         let Some(order) = self.orders.remove(&id) else {
             return;
@@ -76,11 +79,11 @@
             io.cx.out.push(Action::Notice(notice));
         }
         match order.purpose {
-            OrderPurpose::Report => self.report_ended(io, &order.target, order.sent, outcome),
+            OrderPurpose::Report => self.report_ended(io, &order.target, order.sent_at, outcome),
             OrderPurpose::Fence => self.fence_ended(&order.target, &outcome),
             OrderPurpose::Load { adapter, permit } => {
                 self.load_ended(io, &order.target, adapter, &outcome);
-                self.hand_back(io, permit, true);
+                self.release_load_permit(io, permit, true);
             }
             OrderPurpose::Unload { adapter } => {
                 self.unload_ended(io, &order.target, &adapter, &outcome);
@@ -92,7 +95,7 @@
         &mut self,
         io: &mut Io<'_, '_>,
         target: &TargetId,
-        asked: Time,
+        requested_at: Time,
         outcome: OrderOutcome,
     ) {
         let now = io.now();
@@ -101,21 +104,21 @@
         };
         engine.report_order = None;
         let OrderOutcome::Reported(report) = outcome else {
-            engine.report_missed();
+            engine.record_missed_report();
             return;
         };
-        if engine.report(&report, asked, now) {
+        if engine.apply_report(&report, requested_at, now) {
             let notice = Notice::EngineRestarted(target.clone());
             io.cx.out.push(Action::Notice(notice));
         }
-        self.end_orphans(io, target, asked);
+        self.release_orphaned_permits(io, target, requested_at);
     }
 
     fn fence_ended(&mut self, target: &TargetId, outcome: &OrderOutcome) {
         if let Some(engine) = self.engines.get_mut(target) {
             engine.fence = match outcome {
-                OrderOutcome::Done | OrderOutcome::Failed => Fence::Raised,
-                _ => Fence::Unsent,
+                OrderOutcome::Done | OrderOutcome::Failed => FenceState::Confirmed,
+                _ => FenceState::NotSent,
             };
         }
     }
@@ -128,19 +131,19 @@
         outcome: &OrderOutcome,
     ) {
         let now = io.now();
-        let done = *outcome == OrderOutcome::Done;
-        let notice = Notice::LoadEnded(target.clone(), adapter.clone(), done);
+        let is_done = *outcome == OrderOutcome::Done;
+        let notice = Notice::LoadEnded(target.clone(), adapter.clone(), is_done);
         io.cx.out.push(Action::Notice(notice));
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
-        engine.next_report = now;
+        engine.next_report_at = now;
         match outcome {
-            OrderOutcome::Done => engine.load_done(&adapter, now),
-            OrderOutcome::Unknown => engine.doubt(&adapter, now + FLIGHT, now),
+            OrderOutcome::Done => engine.record_load(&adapter, now),
+            OrderOutcome::Unknown => engine.mark_uncertain(&adapter, now + MAX_DELIVERY_DELAY, now),
             OrderOutcome::Failed | OrderOutcome::Fenced | OrderOutcome::Reported(_) => {
-                let again = now + LOAD_BACKOFF * ADAPTER_BACKOFF_FACTOR;
-                engine.load_failed(adapter, now + LOAD_BACKOFF, again);
+                let adapter_retry_at = now + LOAD_BACKOFF * ADAPTER_BACKOFF_FACTOR;
+                engine.record_load_failure(adapter, now + LOAD_BACKOFF, adapter_retry_at);
             }
         }
     }
@@ -155,76 +158,82 @@
         let now = io.now();
         if let Some(engine) = self.engines.get_mut(target) {
             match outcome {
-                OrderOutcome::Done => engine.unload_done(adapter, now),
-                _ => engine.doubt(adapter, now + FLIGHT + REPORT_LAG, now),
+                OrderOutcome::Done => engine.record_unload(adapter, now),
+                _ => engine.mark_uncertain(adapter, now + MAX_DELIVERY_DELAY + MAX_REPORT_AGE, now),
             }
         }
-        let Some((next, permit)) = self.loading.planned.remove(target) else {
+        let Some((next_adapter, permit)) = self.loading.planned_loads.remove(target) else {
             return;
         };
-        let in_time = self.loading.held.get(&permit).is_some_and(|it| now < *it);
-        let acts = io.cx.own.acts(now, &self.key);
-        if *outcome == OrderOutcome::Done && in_time && acts {
-            self.order_load(io, target, next, permit);
+        let is_in_time = self
+            .loading
+            .held_permits
+            .get(&permit)
+            .is_some_and(|use_before| now < *use_before);
+        let may_act = io.cx.own.acts(now, &self.key);
+        if *outcome == OrderOutcome::Done && is_in_time && may_act {
+            self.order_load(io, target, next_adapter, permit);
         } else {
-            self.hand_back(io, permit, false);
+            self.release_load_permit(io, permit, false);
         }
     }
 
-    /// Asks engines for the reports that are due, and raises their fencing numbers after a
+    /// Requests the engine reports that are due, and raises the engines' fencing numbers after a
     /// takeover.
-    pub(super) fn ask_reports(&mut self, io: &mut Io<'_, '_>) {
+    pub(super) fn request_due_reports(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        let idle = self.active_at + IDLE_AFTER < now;
-        let factor = if idle { IDLE_REPORT_FACTOR } else { 1 };
+        let is_idle = self.last_active_at + IDLE_THRESHOLD < now;
+        let factor = if is_idle { IDLE_REPORT_FACTOR } else { 1 };
         let interval = io.cfg.report_interval * factor;
         let due: Vec<TargetId> = self
             .engines
             .values()
-            .filter(|engine| engine.presence != Presence::Unlisted && engine.report_order.is_none())
-            .filter(|engine| now >= engine.next_report)
+            .filter(|engine| {
+                engine.availability != Availability::Unlisted && engine.report_order.is_none()
+            })
+            .filter(|engine| now >= engine.next_report_at)
             .map(|engine| engine.id.clone())
             .collect();
         for target in due {
-            self.ask_report(io, &target, now + interval);
+            self.request_report(io, &target, now + interval);
         }
         let unfenced: Vec<TargetId> = self
             .engines
             .values()
-            .filter(|engine| engine.is_open() && engine.checks_fencing)
-            .filter(|engine| engine.fence == Fence::Unsent)
+            .filter(|engine| engine.accepts_requests() && engine.checks_fencing)
+            .filter(|engine| engine.fence == FenceState::NotSent)
             .map(|engine| engine.id.clone())
             .collect();
         for target in unfenced {
-            self.raise_fence(io, &target);
+            self.send_fence_order(io, &target);
         }
     }
 
-    fn ask_report(&mut self, io: &mut Io<'_, '_>, target: &TargetId, next: Time) {
+    fn request_report(&mut self, io: &mut Io<'_, '_>, target: &TargetId, next_report_at: Time) {
         let now = io.now();
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
-        let id = io.order(engine, TargetOrderKind::Report);
+        let id = io.send_order(engine, TargetOrderKind::Report);
         engine.report_order = Some(id);
-        engine.next_report = next;
-        self.note_order(id, target, now, OrderPurpose::Report);
+        engine.next_report_at = next_report_at;
+        self.track_order(id, target, now, OrderPurpose::Report);
     }
 
-    fn raise_fence(&mut self, io: &mut Io<'_, '_>, target: &TargetId) {
+    fn send_fence_order(&mut self, io: &mut Io<'_, '_>, target: &TargetId) {
         let now = io.now();
         let Ok(name) = AdapterId::try_from(FENCE_ADAPTER) else {
             return;
         };
-        let nothing = AdapterRef {
+        let fence_adapter = AdapterRef {
             id: name,
             version: AdapterVersion(0),
         };
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
-        let id = io.order(engine, TargetOrderKind::Unload(nothing));
-        engine.fence = Fence::Sent(id);
-        self.note_order(id, target, now, OrderPurpose::Fence);
+        let id = io.send_order(engine, TargetOrderKind::Unload(fence_adapter));
+        engine.fence = FenceState::Sent(id);
+        self.track_order(id, target, now, OrderPurpose::Fence);
     }
 }
--- a/crates/core/src/engines/ask.rs
+++ b/crates/core/src/engines/permit.rs
@@ -1,4 +1,4 @@
-//! What callers' requests ask of the engines, and what they get.
+//! Permit requests for engines and their outcomes.
 
 use std::net::SocketAddr;
 
@@ -6,68 +6,68 @@
 
 use crate::{AdapterRef, BaseModel, Refusal, RequestId, TargetId, Time, Tokens, WorkspaceId};
 
-/// A request for a place in an engine.
+/// A request for a permit to use an engine.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct PermitAsk {
-    /// The caller's request.
+pub struct PermitRequest {
+    /// Id of the caller's request.
     pub request: RequestId,
-    /// Whose it is.
+    /// The workspace of the request.
     pub workspace: WorkspaceId,
-    /// What must run.
+    /// The adapter to run.
     pub adapter: AdapterRef,
-    /// On which base model.
+    /// The adapter's base model.
     pub base_model: BaseModel,
-    /// Someone is waiting: goes before overnight work.
+    /// Whether a user waits for the response; urgent requests are served before batch requests.
     pub urgent: bool,
-    /// Estimated prompt length.
+    /// Estimated length of the prompt.
     pub prompt: Tokens,
-    /// Longest answer.
+    /// Maximum length of the response.
     pub max_answer: Tokens,
-    /// Hash of the prompt's start.
+    /// Hash of the start of the prompt.
     pub prefix: u64,
 }
 
-impl PermitAsk {
-    /// What the request weighs when workspaces share engines fairly.
+impl PermitRequest {
+    /// Returns the cost of the request in the fair queueing between workspaces.
     #[must_use]
     pub fn cost(&self) -> Tokens {
         self.prompt + self.max_answer
     }
 }
 
-/// A place in an engine.
+/// A permit to run one request on an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Permit {
-    /// Which engine.
+    /// The engine.
     pub target: TargetId,
-    /// Where it listens.
+    /// The engine's address.
     pub address: SocketAddr,
-    /// What must run.
+    /// The adapter to run.
     pub adapter: AdapterRef,
-    /// Not to be used at or after this time.
+    /// The request must be sent before this time.
     pub send_before: Time,
 }
 
-/// The outcome of an ask.
+/// The outcome of a permit request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PermitDecision {
-    /// Which request.
+    /// Id of the caller's request.
     pub request: RequestId,
-    /// A permit, or a refusal.
+    /// The permit, or the refusal.
     pub outcome: Result<Permit, Refusal>,
 }
 
 /// How the use of a permit ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum PermitEnd {
-    /// The request ran, or its caller went away.
+    /// The request ran, or its caller disconnected.
     Used,
-    /// Nothing was sent.
+    /// The request was not sent.
     NotUsed,
     /// The engine no longer holds the adapter at this version.
     WrongAdapter,
-    /// The engine refused the connection or broke off.
+    /// The engine refused the connection or interrupted the request.
     EngineFailed,
-    /// The engine is on its way out.
+    /// The engine is leaving.
     EngineLeaving,
 }
--- a/crates/core/src/engines/queue.rs
+++ b/crates/core/src/engines/queue.rs
@@ -1,101 +1,101 @@
-//! The queue of a group's home.
+//! The request queue of a group's owner.
 //!
-//! Start-time fair queueing between workspaces by tokens, urgent work first. Overnight work that
-//! waited a quarter of the queue's patience is queued as urgent from then on, so it waits at most
-//! that span plus its fair share of the urgent queue.
+//! Start-time fair queueing between workspaces, weighted by tokens; urgent requests come first. A
+//! batch request that has waited a quarter of the maximum queueing time is moved to the urgent
+//! priority, so it waits at most that time plus its fair share of the urgent requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{AdapterRef, MemberRef, QueueOrder, TargetId, Time, Tokens, WorkspaceId};
 
-use super::{AskNumber, PermitAsk};
+use super::{PermitRequest, PermitRequestNumber};
 
-/// Which of a group's two lines an ask stands in.
+/// The priority of a queued request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) enum Line {
+pub(super) enum Priority {
     Urgent,
     Batch,
 }
 
-/// A place in the queue; the smallest is served first.
+/// A position in the queue; the smallest is served first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) struct Place {
-    line: Line,
-    tag: u64,
+pub(super) struct QueuePosition {
+    priority: Priority,
+    start_tag: u64,
     sequence: u64,
 }
 
-/// Who asked, and under which number.
+/// The incarnation that sent a request, and the request's number there.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) struct AskRef {
-    pub(super) holder: MemberRef,
-    pub(super) number: AskNumber,
+pub(super) struct RequestOrigin {
+    pub(super) member: MemberRef,
+    pub(super) number: PermitRequestNumber,
 }
 
-/// An ask in the queue.
+/// A request in the queue.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
-    pub(super) from: AskRef,
-    pub(super) ask: PermitAsk,
-    pub(super) since: Time,
-    pub(super) refreshed: Time,
-    /// The only engine that may run it; baselines bind an ask as it arrives.
-    pub(super) bound: Option<TargetId>,
-    /// No adapter is evicted for it before this time.
-    pub(super) evicts_from: Time,
+pub(super) struct QueuedRequest {
+    pub(super) origin: RequestOrigin,
+    pub(super) request: PermitRequest,
+    pub(super) queued_at: Time,
+    pub(super) refreshed_at: Time,
+    /// The only engine that may run the request; the baseline placements choose it on arrival.
+    pub(super) assigned_engine: Option<TargetId>,
+    /// No adapter is evicted for the request before this time.
+    pub(super) eviction_allowed_from: Time,
 }
 
-/// What waits for one adapter.
+/// Numbers of queued requests for one adapter.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Demand {
     pub(super) waiting: u32,
     pub(super) urgent: u32,
 }
 
-/// The asks that wait, in the order in which they are to be served.
+/// The queued requests, in the order in which they are served.
 #[derive(Debug)]
 pub(super) struct Queue {
     order: QueueOrder,
-    waiting: BTreeMap<Place, Waiting>,
-    places: BTreeMap<AskRef, Place>,
+    requests: BTreeMap<QueuePosition, QueuedRequest>,
+    positions: BTreeMap<RequestOrigin, QueuePosition>,
     demand: BTreeMap<AdapterRef, Demand>,
-    finish_tags: BTreeMap<(Line, WorkspaceId), u64>,
-    clocks: BTreeMap<Line, u64>,
-    next: u64,
+    finish_tags: BTreeMap<(Priority, WorkspaceId), u64>,
+    virtual_times: BTreeMap<Priority, u64>,
+    next_sequence: u64,
 }
 
 impl Queue {
     pub(super) const fn new(order: QueueOrder) -> Self {
         Self {
             order,
-            waiting: BTreeMap::new(),
-            places: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            positions: BTreeMap::new(),
             demand: BTreeMap::new(),
             finish_tags: BTreeMap::new(),
-            clocks: BTreeMap::new(),
-            next: 0,
+            virtual_times: BTreeMap::new(),
+            next_sequence: 0,
         }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.waiting.len()
+        self.requests.len()
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.requests.is_empty()
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (Place, &Waiting)> {
-        self.waiting
+    pub(super) fn iter(&self) -> impl Iterator<Item = (QueuePosition, &QueuedRequest)> {
+        self.requests
             .iter()
-            .map(|(place, waiting)| (*place, waiting))
+            .map(|(position, queued)| (*position, queued))
     }
 
-    pub(super) fn get(&self, place: Place) -> Option<&Waiting> {
-        self.waiting.get(&place)
+    pub(super) fn get(&self, position: QueuePosition) -> Option<&QueuedRequest> {
+        self.requests.get(&position)
     }
 
-    /// The adapters that asks wait for.
+    /// Returns the adapters of the queued requests, with their demand.
     pub(super) fn demands(&self) -> impl Iterator<Item = (&AdapterRef, Demand)> {
         self.demand
             .iter()
@@ -106,129 +106,145 @@
         self.demand.get(adapter).copied().unwrap_or_default()
     }
 
-    /// Notes that an ask was sent again; false if it is not in the queue.
-    pub(super) fn refresh(&mut self, from: &AskRef, now: Time) -> bool {
-        let Some(place) = self.places.get(from) else {
+    /// Records that a request was sent again; returns false if it is not in the queue.
+    pub(super) fn refresh(&mut self, origin: &RequestOrigin, now: Time) -> bool {
+        let Some(position) = self.positions.get(origin) else {
             return false;
         };
-        if let Some(waiting) = self.waiting.get_mut(place) {
-            waiting.refreshed = now;
+        if let Some(queued) = self.requests.get_mut(position) {
+            queued.refreshed_at = now;
         }
         true
     }
 
-    pub(super) fn push(&mut self, waiting: Waiting) {
-        let line = self.line(waiting.ask.urgent);
-        self.insert(line, waiting);
+    pub(super) fn push(&mut self, queued: QueuedRequest) {
+        let priority = self.priority(queued.request.urgent);
+        self.insert(priority, queued);
     }
 
-    /// Takes an ask out that is served now.
-    pub(super) fn serve(&mut self, place: Place) -> Option<Waiting> {
-        let clock = self.clocks.entry(place.line).or_default();
-        *clock = (*clock).max(place.tag);
-        self.take(place)
+    /// Removes a request that is served now and advances the virtual time of its priority.
+    pub(super) fn serve(&mut self, position: QueuePosition) -> Option<QueuedRequest> {
+        let virtual_time = self.virtual_times.entry(position.priority).or_default();
+        *virtual_time = (*virtual_time).max(position.start_tag);
+        self.remove_at(position)
     }
 
-    pub(super) fn remove(&mut self, from: &AskRef) -> Option<Waiting> {
-        let place = self.places.get(from).copied()?;
-        self.take(place)
+    pub(super) fn remove(&mut self, origin: &RequestOrigin) -> Option<QueuedRequest> {
+        let position = self.positions.get(origin).copied()?;
+        self.remove_at(position)
     }
 
-    /// Moves overnight work that has waited since before `before` to the urgent line.
-    pub(super) fn age(&mut self, before: Time) {
-        let aged: Vec<Place> = self
-            .waiting
+    /// Moves batch requests queued before `before` to the urgent priority.
+    pub(super) fn promote_batch(&mut self, before: Time) {
+        let promoted: Vec<QueuePosition> = self
+            .requests
             .iter()
-            .filter(|(place, waiting)| place.line == Line::Batch && waiting.since < before)
-            .map(|(place, _)| *place)
+            .filter(|(position, queued)| {
+                position.priority == Priority::Batch && queued.queued_at < before
+            })
+            .map(|(position, _)| *position)
             .collect();
-        for place in aged {
-            if let Some(waiting) = self.take(place) {
-                self.insert(Line::Urgent, waiting);
+        for position in promoted {
+            if let Some(queued) = self.remove_at(position) {
+                self.insert(Priority::Urgent, queued);
             }
         }
     }
 
-    /// Forgets asks that were not refreshed since `before`, or whose life is not in `lives`.
-    pub(super) fn expire(&mut self, before: Time, lives: &BTreeSet<MemberRef>) {
-        let gone: Vec<Place> = self
-            .waiting
+    /// Removes requests that were not refreshed since `before`, or whose sender is not in
+    /// `members`.
+    pub(super) fn remove_expired(&mut self, before: Time, members: &BTreeSet<MemberRef>) {
+        let expired: Vec<QueuePosition> = self
+            .requests
             .iter()
-            .filter(|(_, waiting)| {
-                waiting.refreshed < before || !lives.contains(&waiting.from.holder)
+            .filter(|(_, queued)| {
+                queued.refreshed_at < before || !members.contains(&queued.origin.member)
             })
-            .map(|(place, _)| *place)
+            .map(|(position, _)| *position)
             .collect();
-        for place in gone {
-            self.take(place);
+        for position in expired {
+            self.remove_at(position);
         }
     }
 
-    /// Empties the queue.
-    pub(super) fn drain(&mut self) -> Vec<Waiting> {
-        self.places.clear();
+    /// Empties the queue and returns its requests in order.
+    pub(super) fn drain(&mut self) -> Vec<QueuedRequest> {
+        self.positions.clear();
         self.demand.clear();
-        std::mem::take(&mut self.waiting).into_values().collect()
+        std::mem::take(&mut self.requests).into_values().collect()
     }
 
-    /// Counts a load towards what a workspace had, so that one that wants many falls behind others.
+    /// Charges a load to a workspace's share, so that a workspace that needs many loads does not
+    /// delay the others.
     pub(super) fn charge(&mut self, workspace: &WorkspaceId, urgent: bool, tokens: Tokens) {
-        let line = self.line(urgent);
-        let clock = self.clocks.get(&line).copied().unwrap_or_default();
+        let priority = self.priority(urgent);
+        let virtual_time = self
+            .virtual_times
+            .get(&priority)
+            .copied()
+            .unwrap_or_default();
         let finish = self
             .finish_tags
-            .entry((line, workspace.clone()))
+            .entry((priority, workspace.clone()))
             .or_default();
-        *finish = clock.max(*finish) + tokens.0;
+        *finish = virtual_time.max(*finish) + tokens.0;
     }
 
-    fn line(&self, urgent: bool) -> Line {
+    fn priority(&self, urgent: bool) -> Priority {
         match (self.order, urgent) {
-            (QueueOrder::Fair, false) => Line::Batch,
-            _ => Line::Urgent,
+            (QueueOrder::Fair, false) => Priority::Batch,
+            _ => Priority::Urgent,
         }
     }
 
-    fn insert(&mut self, line: Line, waiting: Waiting) {
-        let sequence = self.next;
-        self.next += 1;
-        let place = Place {
-            line,
-            tag: self.tag(line, &waiting.ask),
+    fn insert(&mut self, priority: Priority, queued: QueuedRequest) {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        let position = QueuePosition {
+            priority,
+            start_tag: self.start_tag(priority, &queued.request),
             sequence,
         };
-        let demand = self.demand.entry(waiting.ask.adapter.clone()).or_default();
+        let demand = self
+            .demand
+            .entry(queued.request.adapter.clone())
+            .or_default();
         demand.waiting += 1;
-        demand.urgent += u32::from(waiting.ask.urgent);
-        self.places.insert(waiting.from.clone(), place);
-        self.waiting.insert(place, waiting);
+        demand.urgent += u32::from(queued.request.urgent);
+        self.positions.insert(queued.origin.clone(), position);
+        self.requests.insert(position, queued);
     }
 
-    /// The start tag: a workspace's next ask starts where its last one ends, but not in the past.
-    fn tag(&mut self, line: Line, ask: &PermitAsk) -> u64 {
+    /// Returns the start tag of a workspace's next request: the finish tag of its last request, but
+    /// at least the current virtual time.
+    fn start_tag(&mut self, priority: Priority, request: &PermitRequest) -> u64 {
         if self.order == QueueOrder::FirstCome {
             return 0;
         }
-        let clock = self.clocks.get(&line).copied().unwrap_or_default();
+        let virtual_time = self
+            .virtual_times
+            .get(&priority)
+            .copied()
+            .unwrap_or_default();
         let finish = self
             .finish_tags
-            .entry((line, ask.workspace.clone()))
+            .entry((priority, request.workspace.clone()))
             .or_default();
-        let start = clock.max(*finish);
-        *finish = start + ask.cost().0;
+        let start = virtual_time.max(*finish);
+        *finish = start + request.cost().0;
         start
     }
 
-    fn take(&mut self, place: Place) -> Option<Waiting> {
-        let waiting = self.waiting.remove(&place)?;
-        self.places.remove(&waiting.from);
-        if let Some(demand) = self.demand.get_mut(&waiting.ask.adapter) {
+    fn remove_at(&mut self, position: QueuePosition) -> Option<QueuedRequest> {
+        let queued = self.requests.remove(&position)?;
+        self.positions.remove(&queued.origin);
+        if let Some(demand) = self.demand.get_mut(&queued.request.adapter) {
             demand.waiting -= 1;
-            demand.urgent -= u32::from(waiting.ask.urgent);
+            demand.urgent -= u32::from(queued.request.urgent);
             if demand.waiting == 0 {
-                self.demand.remove(&waiting.ask.adapter);
+                self.demand.remove(&queued.request.adapter);
             }
         }
-        Some(waiting)
+        Some(queued)
     }
 }
--- a/crates/core/src/engines/slot.rs
+++ b/crates/core/src/engines/slot.rs
@@ -1,48 +1,47 @@
-//! One adapter in one engine, as the group's home believes.
+//! A slot of an engine, as known to the group's owner.
 
 use std::time::Duration;
 
 use crate::Time;
 
-use super::timing::{MIN_RESIDENCE, REPORT_LAG};
+use super::timing::{MAX_REPORT_AGE, MIN_RESIDENCE};
 
-/// How far an adapter is in or out of its slot.
+/// The state of an adapter in its slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum SlotState {
     /// A load is ordered.
     Loading,
-    /// It can run.
+    /// Requests for the adapter can run.
     Resident,
-    /// Its removal is ordered; nothing may be let in.
+    /// An unload is ordered; no permits are granted.
     Unloading,
-    /// An order's outcome is unknown: settled by a report asked at or after this time.
-    Doubtful(Time),
+    /// The outcome of an order is unknown until a report that was requested at or after this time.
+    Uncertain(Time),
 }
 
-/// A slot of an engine.
+/// An occupied slot of an engine.
 #[derive(Clone, Debug)]
 pub(super) struct Slot {
     pub(super) state: SlotState,
-    /// When it reached its state.
-    pub(super) since: Time,
+    pub(super) state_since: Time,
     pub(super) last_used: Time,
-    /// No new permits, so that it comes free for others that wait.
-    pub(super) draining: bool,
-    /// When the newest report that shows it unused was asked.
-    idle_asked: Option<Time>,
-    /// A report must be asked at or after this time to prove it unused.
-    idle_from: Time,
+    /// Whether new permits are withheld, so that the slot becomes free for another adapter.
+    pub(super) is_draining: bool,
+    /// When the newest report that shows the adapter unused was requested.
+    idle_report_requested_at: Option<Time>,
+    /// Only a report requested at or after this time confirms that the adapter is unused.
+    idle_report_valid_from: Time,
 }
 
 impl Slot {
     pub(super) const fn new(state: SlotState, now: Time) -> Self {
         Self {
             state,
-            since: now,
+            state_since: now,
             last_used: now,
-            draining: false,
-            idle_asked: None,
-            idle_from: now,
+            is_draining: false,
+            idle_report_requested_at: None,
+            idle_report_valid_from: now,
         }
     }
 
@@ -50,40 +49,47 @@
         self.state == SlotState::Resident
     }
 
-    pub(super) fn set(&mut self, state: SlotState, now: Time) {
+    pub(super) fn set_state(&mut self, state: SlotState, now: Time) {
         self.state = state;
-        self.since = now;
-        self.draining = false;
+        self.state_since = now;
+        self.is_draining = false;
     }
 
-    pub(super) fn granted(&mut self, now: Time) {
+    pub(super) fn record_grant(&mut self, now: Time) {
         self.last_used = now;
-        self.idle_asked = None;
+        self.idle_report_requested_at = None;
     }
 
-    /// A permit ended; `settled` tells that nothing of it can still run inside the engine.
-    pub(super) fn ended(&mut self, now: Time, settled: bool) {
+    /// Records the end of a permit; `has_finished` means that its request can no longer run in the
+    /// engine.
+    pub(super) fn record_permit_end(&mut self, now: Time, has_finished: bool) {
         self.last_used = now;
-        let span = if settled { Duration::ZERO } else { REPORT_LAG };
-        self.idle_from = self.idle_from.max(now + span);
+        let delay = if has_finished {
+            Duration::ZERO
+        } else {
+            MAX_REPORT_AGE
+        };
+        self.idle_report_valid_from = self.idle_report_valid_from.max(now + delay);
     }
 
-    pub(super) fn reported(&mut self, asked: Time, in_use: bool) {
+    pub(super) fn record_report(&mut self, requested_at: Time, in_use: bool) {
         if in_use {
-            self.idle_asked = None;
+            self.idle_report_requested_at = None;
         } else {
-            self.idle_asked = self.idle_asked.max(Some(asked));
+            self.idle_report_requested_at = self.idle_report_requested_at.max(Some(requested_at));
         }
     }
 
-    /// Whether a report asked at or after `settled` proves that nothing inside the engine uses it.
-    pub(super) fn is_proved_idle(&self, settled: Time) -> bool {
-        let from = self.idle_from.max(settled);
-        self.idle_asked.is_some_and(|asked| asked >= from)
+    /// Whether a report requested at or after `reports_complete_from` confirms that nothing in the
+    /// engine uses the adapter.
+    pub(super) fn is_confirmed_idle(&self, reports_complete_from: Time) -> bool {
+        let from = self.idle_report_valid_from.max(reports_complete_from);
+        self.idle_report_requested_at
+            .is_some_and(|requested_at| requested_at >= from)
     }
 
-    /// Whether it was there long enough to be removed.
-    pub(super) fn is_settled_in(&self, now: Time) -> bool {
-        self.is_resident() && self.since + MIN_RESIDENCE <= now
+    /// Whether the adapter has been resident for the minimum time before an eviction.
+    pub(super) fn has_min_residence(&self, now: Time) -> bool {
+        self.is_resident() && self.state_since + MIN_RESIDENCE <= now
     }
 }
--- a/crates/core/src/engines/summary.rs
+++ b/crates/core/src/engines/summary.rs
@@ -1,72 +1,74 @@
-//! What operators see of engine groups.
+//! Summaries of engine groups for operators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{AdapterRef, GroupId, HomeKey, InstanceId, Ownership, TargetId};
 
 use super::Engines;
-use super::engine::{Engine, Presence};
-use super::home::GroupHome;
+use super::engine::{Availability, Engine};
+use super::owner::GroupOwner;
 use super::slot::SlotState;
 
-/// A group of engines, as one instance knows it.
+/// A group of engines, as known to one instance.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct GroupSummary {
-    /// Which group.
+    /// The group's id.
     pub id: GroupId,
-    /// Its home under the map in force.
-    pub home: Option<InstanceId>,
-    /// What its home knows; none at any other instance.
+    /// The group's owner under the map in force.
+    #[serde(rename = "home")]
+    pub owner: Option<InstanceId>,
+    /// The owner's schedule; `None` on any other instance.
     pub schedule: Option<GroupSchedule>,
 }
 
-/// A group of engines, as its home knows it.
+/// The schedule of a group of engines, as known to its owner.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct GroupSchedule {
     /// Requests in the queue.
     pub waiting: usize,
-    /// Its engines.
+    /// The group's engines.
     pub engines: Vec<EngineSummary>,
 }
 
-/// An engine, as its group's home knows it.
+/// An engine, as known to its group's owner.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct EngineSummary {
-    /// Which engine.
+    /// The engine's id.
     pub id: TargetId,
-    /// It gets no new work.
+    /// Whether the engine gets no new requests.
     pub leaving: bool,
-    /// Permits that are out.
+    /// Number of outstanding permits.
     pub permits: u32,
-    /// Most requests that it batches.
+    /// Maximum number of requests in a batch.
     pub max_batch: u32,
-    /// Adapters that it can hold.
+    /// Number of adapter slots.
     pub slots: u32,
-    /// Adapters that it holds.
+    /// Resident adapters.
     pub resident: Vec<AdapterRef>,
-    /// Adapters on their way in.
+    /// Adapters that are being loaded.
     pub loading: Vec<AdapterRef>,
 }
 
 impl Engines {
-    /// All groups of the platform's list, with what this instance knows as their home.
+    /// Returns all groups of the platform's list, with the schedules of those that this instance
+    /// owns.
     #[must_use]
-    pub fn groups(&self, own: &Ownership) -> Vec<GroupSummary> {
+    pub fn groups(&self, ownership: &Ownership) -> Vec<GroupSummary> {
         let groups = self.targets.groups.keys();
         let summary = |id: &GroupId| GroupSummary {
             id: id.clone(),
-            home: own.home(&HomeKey::Group(id.clone())).cloned(),
-            schedule: self.homes.get(id).map(GroupSchedule::from),
+            owner: ownership.home(&HomeKey::Group(id.clone())).cloned(),
+            schedule: self.group_owners.get(id).map(GroupSchedule::from),
         };
         groups.map(summary).collect()
     }
 }
 
-impl From<&GroupHome> for GroupSchedule {
-    fn from(home: &GroupHome) -> Self {
+impl From<&GroupOwner> for GroupSchedule {
+    fn from(owner: &GroupOwner) -> Self {
         Self {
-            waiting: home.queue.len(),
-            engines: home.engines.values().map(EngineSummary::from).collect(),
+            waiting: owner.queue.len(),
+            engines: owner.engines.values().map(EngineSummary::from).collect(),
         }
     }
 }
@@ -82,7 +84,7 @@
         };
         Self {
             id: engine.id.clone(),
-            leaving: engine.presence != Presence::Staying,
+            leaving: engine.availability != Availability::Active,
             permits: engine.permits(),
             max_batch: engine.max_batch,
             slots: engine.slots_total,
--- a/crates/core/src/engines/targets.rs
+++ b/crates/core/src/engines/targets.rs
@@ -1,11 +1,11 @@
-//! The engines of the platform's list, by group.
+//! The engines in the platform's list, by group.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::{BaseModel, GroupId, Grouping, TargetId, TargetInfo, TargetKind};
 
-/// An engine as the list shows it.
+/// An engine in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct ListedEngine {
     pub(super) address: SocketAddr,
@@ -23,14 +23,14 @@
 }
 
 impl ListedGroup {
-    /// Places in the batches of engines that stay.
-    pub(super) fn places(&self) -> u32 {
-        let staying = self.engines.values().filter(|engine| !engine.leaving);
-        staying.map(|engine| engine.max_batch).sum()
+    /// Returns the number of batch slots of the engines that are not leaving.
+    pub(super) fn batch_slots(&self) -> u32 {
+        let remaining = self.engines.values().filter(|engine| !engine.leaving);
+        remaining.map(|engine| engine.max_batch).sum()
     }
 }
 
-/// All engines of the list.
+/// All engines in the platform's list.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(super) struct Targets {
     pub(super) groups: BTreeMap<GroupId, ListedGroup>,
--- a/crates/core/src/engines/view.rs
+++ b/crates/core/src/engines/view.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of a group from its home's answers.
+//! An instance's view of a group, from the responses of the group's owner.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,56 +7,56 @@
 
 use super::message::{GroupStatus, Residency};
 
-/// Seconds that a request is taken to hold its place.
-const SECONDS_PER_TURN: u32 = 4;
+/// Assumed seconds for which a request holds its batch slot.
+const BATCH_SLOT_HOLD_SECONDS: u32 = 4;
 
-/// Bounds of what a refused caller is told.
-const LEAST_RETRY: Duration = Duration::from_secs(1);
-const MOST_RETRY: Duration = Duration::from_mins(1);
+/// Bounds of the retry delay sent to a refused caller.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+const MAX_RETRY_AFTER: Duration = Duration::from_mins(1);
 
-/// A group as last heard of.
+/// The last received state of a group.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GroupView {
     status: Option<GroupStatus>,
     resident: BTreeSet<AdapterRef>,
-    /// Asks sent there since.
-    sent: u32,
-    /// No asks before this time: its home did not answer or turned one away.
+    /// Requests sent to the group since its last status.
+    sent_since_status: u32,
+    /// No requests are sent before this time, as the group's owner did not respond or rejected one.
     pub(super) avoid_until: Time,
 }
 
 impl GroupView {
-    pub(super) fn heard(&mut self, status: GroupStatus) {
+    pub(super) fn record_status(&mut self, status: GroupStatus) {
         self.status = Some(status);
-        self.sent = 0;
+        self.sent_since_status = 0;
         self.avoid_until = Time(0);
     }
 
-    pub(super) fn holds_now(&mut self, residency: Residency) {
-        if residency.whole {
+    pub(super) fn apply_residency(&mut self, residency: Residency) {
+        if residency.is_complete {
             self.resident.clear();
         }
-        self.resident.extend(residency.came);
-        for adapter in residency.gone {
+        self.resident.extend(residency.added);
+        for adapter in residency.removed {
             self.resident.remove(&adapter);
         }
     }
 
-    pub(super) fn sent(&mut self) {
-        self.sent = self.sent.saturating_add(1);
+    pub(super) fn record_sent(&mut self) {
+        self.sent_since_status = self.sent_since_status.saturating_add(1);
     }
 
-    pub(super) fn let_in(&mut self, adapter: &AdapterRef) {
+    pub(super) fn record_grant(&mut self, adapter: &AdapterRef) {
         if !self.resident.contains(adapter) {
             self.resident.insert(adapter.clone());
         }
     }
 
-    pub(super) fn lacks(&mut self, adapter: &AdapterRef) {
+    pub(super) fn remove_resident(&mut self, adapter: &AdapterRef) {
         self.resident.remove(adapter);
     }
 
-    pub(super) fn holds(&self, adapter: &AdapterRef) -> bool {
+    pub(super) fn has_resident(&self, adapter: &AdapterRef) -> bool {
         self.resident.contains(adapter)
     }
 
@@ -65,24 +65,27 @@
         self.status.is_none_or(|status| status.free_slots > 0)
     }
 
-    /// When asking again may help: once the store and the engines can have served what waits now.
+    /// Returns the estimated time until the store and the engines have served the requests that
+    /// wait now.
     pub(super) fn retry_after(&self, loads_per_second: u32) -> Duration {
         let status = self.status.unwrap_or_default();
-        let loads = Duration::from_secs(1) * status.stalled / loads_per_second.max(1);
-        let turns = Duration::from_secs(1) * status.waiting / status.places.max(1);
-        (loads + turns * SECONDS_PER_TURN).clamp(LEAST_RETRY, MOST_RETRY)
+        let load_time = Duration::from_secs(1) * status.waiting_for_load / loads_per_second.max(1);
+        let batch_slot_time =
+            Duration::from_secs(1) * status.waiting_for_batch_slot / status.batch_slots.max(1);
+        (load_time + batch_slot_time * BATCH_SLOT_HOLD_SECONDS)
+            .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Requests that take a place or wait for one, or are on their way, in thousandths of the
-    /// group's places. Those that wait for a load are not counted: they press on the store, not on
-    /// the engines.
-    pub(super) fn pressure(&self, listed_places: u32) -> u64 {
+    /// Returns the requests that run, wait for a batch slot or were just sent, in thousandths of
+    /// the group's batch slots. Requests that wait for a load are not counted, as they load the
+    /// store and not the engines.
+    pub(super) fn utilization_permille(&self, listed_batch_slots: u32) -> u64 {
         let status = self.status.unwrap_or_default();
-        let places = match status.places {
-            0 => listed_places.max(1),
+        let batch_slots = match status.batch_slots {
+            0 => listed_batch_slots.max(1),
             known => known,
         };
-        let inside = status.waiting + status.running + self.sent;
-        u64::from(inside) * 1_000 / u64::from(places)
+        let total = status.waiting_for_batch_slot + status.running + self.sent_since_status;
+        u64::from(total) * 1_000 / u64::from(batch_slots)
     }
 }
--- a/crates/core/src/instance/dispatch.rs
+++ b/crates/core/src/instance/dispatch.rs
@@ -1,6 +1,6 @@
 //! A charged request on its way to a target: placed, recorded if it may not be repeated, sent.
 
-use crate::engines::{Permit, PermitAsk, PermitEnd};
+use crate::engines::{Permit, PermitEnd, PermitRequest};
 use crate::journal::{CallOutcome, JournalAsk, JournalStep};
 use crate::services::{Slot, SlotEnd};
 use crate::{Action, Cx, RequestAction, RequestId, StoredAnswer, Time};
@@ -26,7 +26,7 @@
                 prefix,
                 delivered,
             } => {
-                let ask = PermitAsk {
+                let ask = PermitRequest {
                     request: id,
                     workspace: flight.workspace.clone(),
                     adapter: adapter.clone(),
@@ -36,7 +36,7 @@
                     max_answer: max_answer.saturating_sub(*delivered),
                     prefix: *prefix,
                 };
-                let decisions = self.engines.ask(cx!(self, now), ask);
+                let decisions = self.engines.request_permit(cx!(self, now), ask);
                 self.decide(decisions);
             }
             Job::Call { service, .. } => {
@@ -51,7 +51,7 @@
         let Some(flight) = self.flights.get_mut(&id) else {
             let decisions = self
                 .engines
-                .finished(cx!(self, now), id, PermitEnd::NotUsed);
+                .permit_ended(cx!(self, now), id, PermitEnd::NotUsed);
             self.decide(decisions);
             return;
         };
--- a/crates/core/src/instance/ending.rs
+++ b/crates/core/src/instance/ending.rs
@@ -63,7 +63,7 @@
         end: PermitEnd,
         delivered: Option<Tokens>,
     ) {
-        let decisions = self.engines.finished(cx!(self, now), id, end);
+        let decisions = self.engines.permit_ended(cx!(self, now), id, end);
         self.decide(decisions);
         if let Some(delivered) = delivered {
             self.progressed(id, delivered);
@@ -93,7 +93,7 @@
         answer: Tokens,
         end: PermitEnd,
     ) {
-        let decisions = self.engines.finished(cx!(self, now), id, end);
+        let decisions = self.engines.permit_ended(cx!(self, now), id, end);
         self.decide(decisions);
         let Some(flight) = self.flights.remove(&id) else {
             return;
--- a/crates/core/tests/engines_guards.rs
+++ b/crates/core/tests/engines_guards.rs
@@ -1,4 +1,4 @@
-//! The guards of permits, evictions and loads, one at a time.
+//! Tests of the engines' state machine: the guards of permits, evictions and loads, one at a time.
 
 #[path = "support/engines/mod.rs"]
 mod support;
@@ -11,22 +11,22 @@
 use support::fleet::{EngineSpec, adapter, ask};
 use support::lone::{Lone, engine, grant, group, permit, report};
 
-const CHECKS: EngineSpec = EngineSpec {
+const CHECKS_FENCING: EngineSpec = EngineSpec {
     slots: 2,
     max_batch: 4,
     checks_fencing: true,
 };
 
-const IGNORES: EngineSpec = EngineSpec {
+const IGNORES_FENCING: EngineSpec = EngineSpec {
     checks_fencing: false,
-    ..CHECKS
+    ..CHECKS_FENCING
 };
 
-fn both() -> EngineReport {
+fn both_adapters() -> EngineReport {
     report(&[adapter(1), adapter(2)], &[])
 }
 
-fn held(number: u64, index: u32) -> HeldPermit {
+fn held_permit(number: u64, index: u32) -> HeldPermit {
     HeldPermit {
         permit: permit(4, number),
         target: engine(),
@@ -34,278 +34,290 @@
     }
 }
 
-/// A home that runs: all have said that they hold nothing, and the engine holds adapters 1 and 2.
-fn running(spec: &EngineSpec) -> Lone {
-    let mut lone = taken_over(spec);
-    lone.holding("b", Vec::new());
-    lone.holding("c", Vec::new());
-    lone.pass(100);
-    lone.answer(&both());
-    lone
+/// Returns an owner whose takeover is finished: the other members hold no permits, and the engine
+/// holds adapters 1 and 2.
+fn running_owner(spec: &EngineSpec) -> Lone {
+    let mut harness = owner_in_takeover(spec);
+    harness.holding("b", Vec::new());
+    harness.holding("c", Vec::new());
+    harness.pass(100);
+    harness.answer(&both_adapters());
+    harness
 }
 
-fn taken_over(spec: &EngineSpec) -> Lone {
-    let mut lone = Lone::home(spec);
-    lone.pass(50);
-    lone.answer(&both());
-    lone
+fn owner_in_takeover(spec: &EngineSpec) -> Lone {
+    let mut harness = Lone::home(spec);
+    harness.pass(50);
+    harness.answer(&both_adapters());
+    harness
 }
 
-/// Passes time with the engine answering everything with `answer` as its report.
-fn pass_answering(lone: &mut Lone, millis: u64, answer: &EngineReport) {
+/// Lets `millis` pass while the engine responds to every report request with `report`.
+fn pass_with_reports(harness: &mut Lone, millis: u64, report: &EngineReport) {
     for _ in 0..millis / 50 {
-        lone.pass(50);
-        lone.answer_reports(answer);
+        harness.pass(50);
+        harness.answer_reports(report);
     }
 }
 
-// A draft breaks off: its permit was granted by the former home and it is on its way to the engine,
-// whose report shows nothing yet; the new home takes its adapter for idle.
+// Guards against an interrupted request: the former owner granted its permit, and the request has
+// not reached the engine, whose report does not show it yet. The new owner then treats its adapter
+// as idle.
 #[test]
-fn a_new_home_unloads_nothing_before_all_have_said_what_they_hold() {
-    let mut lone = taken_over(&CHECKS);
-    lone.asked("b", 1, ask(3));
-    pass_answering(&mut lone, 5_000, &both());
-    assert!(lone.unloads().is_empty());
-    lone.holding("b", vec![held(1, 1)]);
-    lone.holding("c", Vec::new());
-    lone.asked("b", 1, ask(3));
-    pass_answering(&mut lone, 5_000, &both());
-    assert_eq!(lone.unloads(), [adapter(2)]);
+fn new_owner_unloads_nothing_before_all_members_report_held_permits() {
+    let mut harness = owner_in_takeover(&CHECKS_FENCING);
+    harness.asked("b", 1, ask(3));
+    pass_with_reports(&mut harness, 5_000, &both_adapters());
+    assert!(harness.unloads().is_empty());
+    harness.holding("b", vec![held_permit(1, 1)]);
+    harness.holding("c", Vec::new());
+    harness.asked("b", 1, ask(3));
+    pass_with_reports(&mut harness, 5_000, &both_adapters());
+    assert_eq!(harness.unloads(), [adapter(2)]);
 }
 
-// An engine gets more requests than its batch takes: the new home counts only its own permits.
+// Guards against an engine that gets more requests than its batch takes, as the new owner counts
+// only the permits that it granted itself.
 #[test]
-fn a_new_home_grants_nothing_before_all_have_said_what_they_hold() {
-    let mut lone = taken_over(&CHECKS);
-    lone.holding("b", vec![held(1, 1), held(2, 1), held(3, 1)]);
-    lone.asked("b", 1, ask(1));
-    lone.asked("b", 2, ask(1));
-    pass_answering(&mut lone, 500, &both());
-    assert!(lone.grants().is_empty());
-    lone.holding("c", Vec::new());
-    lone.pass(50);
-    assert_eq!(lone.grants().len(), 1);
+fn new_owner_grants_nothing_before_all_members_report_held_permits() {
+    let mut harness = owner_in_takeover(&CHECKS_FENCING);
+    harness.holding(
+        "b",
+        vec![held_permit(1, 1), held_permit(2, 1), held_permit(3, 1)],
+    );
+    harness.asked("b", 1, ask(1));
+    harness.asked("b", 2, ask(1));
+    pass_with_reports(&mut harness, 500, &both_adapters());
+    assert!(harness.grants().is_empty());
+    harness.holding("c", Vec::new());
+    harness.pass(50);
+    assert_eq!(harness.grants().len(), 1);
 }
 
-// A permit stays out for good: its end came before the word that it is held.
+// Guards against a permit that stays outstanding forever, as its end was received before the report
+// that it is held.
 #[test]
-fn an_end_that_overtakes_the_word_of_its_permit_counts() {
-    let mut lone = taken_over(&CHECKS);
-    let end = EnginesMessage::Ended {
+fn permit_end_received_before_the_report_of_its_permit_counts() {
+    let mut harness = owner_in_takeover(&CHECKS_FENCING);
+    let end = EnginesMessage::PermitEnded {
         group: group(),
         permit: permit(4, 1),
         end: PermitEnd::Used,
     };
-    lone.hear("b", end);
-    lone.holding("b", vec![held(1, 1)]);
-    lone.holding("c", Vec::new());
-    assert_eq!(lone.core.permits_out(), 0);
+    harness.hear("b", end);
+    harness.holding("b", vec![held_permit(1, 1)]);
+    harness.holding("c", Vec::new());
+    assert_eq!(harness.core.outstanding_permits(), 0);
 }
 
-// A draft breaks off: an instance that left the map sent it with the last of its standing, and the
-// home takes a report from before that for proof that nothing runs.
+// Guards against an interrupted request: an instance that left the map sent it just before its
+// lease expired, and the owner takes an earlier report as confirmation that nothing runs.
 #[test]
-fn after_a_takeover_only_a_late_enough_report_proves_an_adapter_unused() {
-    let mut lone = Lone::home(&CHECKS);
-    lone.remember_map();
-    lone.own.past_retired_at = Some(lone.now + Duration::from_secs(2));
-    lone.own.map.history[0].active = vec![lone.own.me.id.clone()];
-    lone.pass(50);
-    lone.answer(&both());
-    lone.holding("b", Vec::new());
-    lone.holding("c", Vec::new());
-    lone.asked("b", 1, ask(3));
-    pass_answering(&mut lone, 3_900, &both());
-    assert!(lone.unloads().is_empty());
-    lone.asked("b", 1, ask(3));
-    pass_answering(&mut lone, 1_500, &both());
-    assert_eq!(lone.unloads().len(), 1);
+fn after_a_takeover_only_a_late_enough_report_confirms_an_adapter_unused() {
+    let mut harness = Lone::home(&CHECKS_FENCING);
+    harness.remember_map();
+    harness.own.past_retired_at = Some(harness.now + Duration::from_secs(2));
+    harness.own.map.history[0].active = vec![harness.own.me.id.clone()];
+    harness.pass(50);
+    harness.answer(&both_adapters());
+    harness.holding("b", Vec::new());
+    harness.holding("c", Vec::new());
+    harness.asked("b", 1, ask(3));
+    pass_with_reports(&mut harness, 3_900, &both_adapters());
+    assert!(harness.unloads().is_empty());
+    harness.asked("b", 1, ask(3));
+    pass_with_reports(&mut harness, 1_500, &both_adapters());
+    assert_eq!(harness.unloads().len(), 1);
 }
 
-// As above, of a home that stays: the permit is in its books, and must not be struck out too early.
+// The same for an owner that stays: it has recorded the permit and must not remove it too early.
 #[test]
-fn permits_of_a_life_that_left_the_map_stay_out_until_a_late_report() {
-    let mut lone = running(&CHECKS);
-    lone.asked("b", 1, ask(1));
-    pass_answering(&mut lone, 100, &both());
-    assert_eq!(lone.core.permits_out(), 1);
-    lone.drop_member("b", Duration::from_secs(2));
-    pass_answering(&mut lone, 3_900, &both());
-    assert_eq!(lone.core.permits_out(), 1);
-    pass_answering(&mut lone, 1_500, &both());
-    assert_eq!(lone.core.permits_out(), 0);
+fn permits_of_a_removed_member_stay_outstanding_until_a_late_enough_report() {
+    let mut harness = running_owner(&CHECKS_FENCING);
+    harness.asked("b", 1, ask(1));
+    pass_with_reports(&mut harness, 100, &both_adapters());
+    assert_eq!(harness.core.outstanding_permits(), 1);
+    harness.drop_member("b", Duration::from_secs(2));
+    pass_with_reports(&mut harness, 3_900, &both_adapters());
+    assert_eq!(harness.core.outstanding_permits(), 1);
+    pass_with_reports(&mut harness, 1_500, &both_adapters());
+    assert_eq!(harness.core.outstanding_permits(), 0);
 }
 
-// A draft breaks off: a former home's unload arrives after the new home let it in.
+// Guards against a request interrupted by a former owner's unload order that arrives after the new
+// owner granted the permit.
 #[test]
-fn nothing_is_let_in_before_the_engine_knows_the_new_fencing_number() {
-    let mut lone = Lone::home(&CHECKS);
-    lone.pass(50);
-    lone.answer_reports(&both());
-    lone.holding("b", Vec::new());
-    lone.holding("c", Vec::new());
-    lone.asked("b", 1, ask(1));
-    pass_answering(&mut lone, 2_000, &both());
-    assert!(lone.grants().is_empty());
-    lone.asked("b", 1, ask(1));
-    lone.answer(&both());
-    assert_eq!(lone.grants().len(), 1);
+fn nothing_is_granted_before_the_engine_knows_the_new_fencing_number() {
+    let mut harness = Lone::home(&CHECKS_FENCING);
+    harness.pass(50);
+    harness.answer_reports(&both_adapters());
+    harness.holding("b", Vec::new());
+    harness.holding("c", Vec::new());
+    harness.asked("b", 1, ask(1));
+    pass_with_reports(&mut harness, 2_000, &both_adapters());
+    assert!(harness.grants().is_empty());
+    harness.asked("b", 1, ask(1));
+    harness.answer(&both_adapters());
+    assert_eq!(harness.grants().len(), 1);
 }
 
-// The same with an engine that ignores fencing numbers: only time, or a permit of the former home
-// that is still out, tells that no unload is on its way.
+// The same with an engine that ignores fencing numbers: only elapsed time, or a permit of the
+// former owner that is still outstanding, shows that no unload order can arrive any more.
 #[test]
-fn an_engine_that_ignores_fencing_gets_work_once_no_order_can_be_on_its_way() {
-    let mut lone = taken_over(&IGNORES);
-    lone.holding("b", vec![held(1, 1)]);
-    lone.holding("c", Vec::new());
-    lone.asked("b", 1, ask(1));
-    lone.asked("b", 2, ask(2));
-    pass_answering(&mut lone, 900, &both());
-    let adapters: Vec<_> = lone.grants().iter().map(|it| it.number.0).collect();
-    assert!(adapters.iter().all(|number| *number == 1) && !adapters.is_empty());
-    pass_answering(&mut lone, 200, &both());
-    assert!(lone.grants().iter().any(|it| it.number.0 == 2));
+fn engine_that_ignores_fencing_gets_requests_once_no_former_order_can_arrive() {
+    let mut harness = owner_in_takeover(&IGNORES_FENCING);
+    harness.holding("b", vec![held_permit(1, 1)]);
+    harness.holding("c", Vec::new());
+    harness.asked("b", 1, ask(1));
+    harness.asked("b", 2, ask(2));
+    pass_with_reports(&mut harness, 900, &both_adapters());
+    let numbers: Vec<_> = harness.grants().iter().map(|it| it.number.0).collect();
+    assert!(numbers.iter().all(|number| *number == 1) && !numbers.is_empty());
+    pass_with_reports(&mut harness, 200, &both_adapters());
+    assert!(harness.grants().iter().any(|it| it.number.0 == 2));
 }
 
-// Two homes act at once: one lost its standing and does not ask for it before it acts.
+// Guards against two owners that act at the same time, one of which has lost its lease and does not
+// check it before it acts.
 #[test]
-fn a_home_without_standing_does_nothing() {
-    let mut lone = running(&CHECKS);
-    lone.own.standing_until = lone.now;
-    lone.orders.clear();
-    lone.asked("b", 1, ask(1));
-    lone.asked("b", 2, ask(3));
-    lone.pass(1_000);
-    assert!(!lone.acts());
-    assert!(lone.grants().is_empty() && lone.orders.is_empty());
+fn owner_without_a_lease_does_nothing() {
+    let mut harness = running_owner(&CHECKS_FENCING);
+    harness.own.standing_until = harness.now;
+    harness.orders.clear();
+    harness.asked("b", 1, ask(1));
+    harness.asked("b", 2, ask(3));
+    harness.pass(1_000);
+    assert!(!harness.acts());
+    assert!(harness.grants().is_empty() && harness.orders.is_empty());
 }
 
-// An instance slept through being dropped and added again: what it knows of permits is void.
+// Guards against an instance that was suspended while it was removed from the map and added again:
+// its state of permits is no longer valid.
 #[test]
-fn a_home_that_missed_a_map_starts_anew() {
-    let mut lone = running(&CHECKS);
-    lone.asked("b", 1, ask(1));
-    assert_eq!(lone.core.permits_out(), 1);
-    lone.own.map.revision = Revision(7);
-    lone.step(bluebellstage_core::engines::Engines::map_changed);
-    assert_eq!(lone.core.permits_out(), 0);
-    lone.asked("b", 2, ask(1));
-    pass_answering(&mut lone, 500, &both());
+fn owner_that_missed_a_map_starts_over() {
+    let mut harness = running_owner(&CHECKS_FENCING);
+    harness.asked("b", 1, ask(1));
+    assert_eq!(harness.core.outstanding_permits(), 1);
+    harness.own.map.revision = Revision(7);
+    harness.step(bluebellstage_core::engines::Engines::map_changed);
+    assert_eq!(harness.core.outstanding_permits(), 0);
+    harness.asked("b", 2, ask(1));
+    pass_with_reports(&mut harness, 500, &both_adapters());
     assert_eq!(
-        lone.grants().len(),
+        harness.grants().len(),
         1,
-        "nothing new before all have said what they hold"
+        "nothing new before all members have reported what they hold"
     );
 }
 
-// A request runs on an adapter that its home has ordered out: the order's answer was lost.
+// Guards against a request that runs on an adapter whose unload its owner has ordered, when the
+// engine's response to the order was lost.
 #[test]
-fn an_adapter_whose_unload_has_no_answer_gets_no_work() {
-    let mut lone = running(&CHECKS);
-    lone.asked("b", 1, ask(3));
-    pass_answering(&mut lone, 4_000, &both());
-    lone.asked("b", 1, ask(3));
-    pass_answering(&mut lone, 500, &both());
-    let order = lone
+fn adapter_with_an_unknown_unload_outcome_gets_no_grants() {
+    let mut harness = running_owner(&CHECKS_FENCING);
+    harness.asked("b", 1, ask(3));
+    pass_with_reports(&mut harness, 4_000, &both_adapters());
+    harness.asked("b", 1, ask(3));
+    pass_with_reports(&mut harness, 500, &both_adapters());
+    let order = harness
         .orders
         .iter()
         .find(|it| matches!(&it.kind, TargetOrderKind::Unload(adapter) if adapter.version.0 > 0));
     let order = order.cloned().expect("an unload is ordered");
-    let TargetOrderKind::Unload(out) = order.kind.clone() else {
+    let TargetOrderKind::Unload(unloading) = order.kind.clone() else {
         return;
     };
-    lone.end(&order, OrderOutcome::Unknown);
-    let mut wanted = ask(1);
-    wanted.adapter = out;
-    lone.asked("c", 9, wanted);
-    pass_answering(&mut lone, 1_800, &both());
-    assert!(lone.grants().is_empty());
+    harness.end(&order, OrderOutcome::Unknown);
+    let mut request = ask(1);
+    request.adapter = unloading;
+    harness.asked("c", 9, request);
+    pass_with_reports(&mut harness, 1_800, &both_adapters());
+    assert!(harness.grants().is_empty());
 }
 
-// Two permits for one request, or one that its home no longer counts: each grant that does not fit
-// goes back at once.
+// Guards against two permits for one request, and against a permit that its owner no longer counts:
+// such a grant is returned immediately.
 #[test]
-fn grants_that_do_not_fit_are_handed_back() {
-    let mut lone = Lone::entry(&CHECKS);
-    lone.step(|core, cx| core.ask(cx, ask(1)));
-    lone.hear("c", grant(0, permit(5, 1)));
-    assert_eq!(lone.ended(permit(5, 1)), 1, "not from the home");
-    let question = EnginesMessage::WhichPermits {
+fn invalid_grants_are_returned_unused() {
+    let mut harness = Lone::entry(&CHECKS_FENCING);
+    harness.step(|core, cx| core.request_permit(cx, ask(1)));
+    harness.hear("c", grant(0, permit(5, 1)));
+    assert_eq!(harness.ended(permit(5, 1)), 1, "not from the owner");
+    let query = EnginesMessage::QueryHeldPermits {
         group: group(),
         revision: Revision(5),
     };
-    lone.hear("b", question);
-    lone.hear("b", grant(0, permit(4, 9)));
+    harness.hear("b", query);
+    harness.hear("b", grant(0, permit(4, 9)));
     assert_eq!(
-        lone.ended(permit(4, 9)),
+        harness.ended(permit(4, 9)),
         1,
-        "older than what was said to be held"
+        "older than the reported permits"
     );
-    lone.hear("b", grant(0, permit(5, 2)));
-    lone.hear("b", grant(0, permit(5, 3)));
-    assert_eq!(lone.ended(permit(5, 3)), 1, "the ask has its permit");
-    assert_eq!(lone.ended(permit(5, 2)), 0);
-    assert_eq!(lone.decisions.len(), 1);
+    harness.hear("b", grant(0, permit(5, 2)));
+    harness.hear("b", grant(0, permit(5, 3)));
+    assert_eq!(harness.ended(permit(5, 3)), 1, "the request has its permit");
+    assert_eq!(harness.ended(permit(5, 2)), 0);
+    assert_eq!(harness.decisions.len(), 1);
 }
 
-// An instance that was dropped sends a request after its home counts the permit as ended.
+// Guards against an instance removed from the map that sends a request after the owner counts its
+// permit as ended.
 #[test]
-fn a_permit_is_sent_only_while_standing_holds() {
-    let mut lone = Lone::entry(&CHECKS);
-    lone.step(|core, cx| core.ask(cx, ask(1)));
-    lone.own.standing_until = lone.now + Duration::from_millis(300);
-    lone.hear("b", grant(0, permit(5, 1)));
-    let outcome = lone.decisions.remove(0).outcome;
-    assert_eq!(outcome.unwrap().send_before, lone.own.standing_until);
-    lone.step(|core, cx| core.ask(cx, ask(1)));
-    lone.own.standing_until = lone.now;
-    lone.hear("b", grant(1, permit(5, 2)));
-    assert!(lone.decisions.is_empty());
-    assert_eq!(lone.ended(permit(5, 2)), 1);
+fn permit_is_used_only_while_the_lease_holds() {
+    let mut harness = Lone::entry(&CHECKS_FENCING);
+    harness.step(|core, cx| core.request_permit(cx, ask(1)));
+    harness.own.standing_until = harness.now + Duration::from_millis(300);
+    harness.hear("b", grant(0, permit(5, 1)));
+    let outcome = harness.decisions.remove(0).outcome;
+    assert_eq!(outcome.unwrap().send_before, harness.own.standing_until);
+    harness.step(|core, cx| core.request_permit(cx, ask(1)));
+    harness.own.standing_until = harness.now;
+    harness.hear("b", grant(1, permit(5, 2)));
+    assert!(harness.decisions.is_empty());
+    assert_eq!(harness.ended(permit(5, 2)), 1);
 }
 
-// An engine's place is lost for good: the message that a request ended was lost.
+// Guards against a batch slot that is never freed, as the message that its request ended was lost.
 #[test]
-fn ends_are_repeated_until_noted() {
-    let mut lone = Lone::entry(&CHECKS);
-    lone.step(|core, cx| core.ask(cx, ask(1)));
-    lone.hear("b", grant(0, permit(5, 1)));
-    lone.step(|core, cx| core.finished(cx, RequestId(0), PermitEnd::Used));
-    lone.pass(1_000);
-    assert!(lone.ended(permit(5, 1)) >= 3);
-    let noted = EnginesMessage::EndNoted {
+fn permit_ends_are_repeated_until_acknowledged() {
+    let mut harness = Lone::entry(&CHECKS_FENCING);
+    harness.step(|core, cx| core.request_permit(cx, ask(1)));
+    harness.hear("b", grant(0, permit(5, 1)));
+    harness.step(|core, cx| core.permit_ended(cx, RequestId(0), PermitEnd::Used));
+    harness.pass(1_000);
+    assert!(harness.ended(permit(5, 1)) >= 3);
+    let acknowledged = EnginesMessage::EndAcknowledged {
         group: group(),
         permit: permit(5, 1),
     };
-    lone.hear("b", noted);
-    lone.sent.clear();
-    lone.pass(1_000);
-    assert_eq!(lone.ended(permit(5, 1)), 0);
+    harness.hear("b", acknowledged);
+    harness.sent.clear();
+    harness.pass(1_000);
+    assert_eq!(harness.ended(permit(5, 1)), 0);
 }
 
-// A request waits for ever: the message with its permit was lost.
+// Guards against a request that waits forever, as the message with its permit was lost.
 #[test]
-fn grants_are_repeated_until_taken() {
-    let mut lone = running(&CHECKS);
-    lone.asked("b", 1, ask(1));
-    lone.pass(1_000);
-    assert!(lone.grants().len() >= 3);
-    let taken = EnginesMessage::Taken {
+fn grants_are_repeated_until_accepted() {
+    let mut harness = running_owner(&CHECKS_FENCING);
+    harness.asked("b", 1, ask(1));
+    harness.pass(1_000);
+    assert!(harness.grants().len() >= 3);
+    let accepted = EnginesMessage::Accepted {
         group: group(),
-        permit: lone.grants()[0].permit,
+        permit: harness.grants()[0].permit,
     };
-    lone.hear("b", taken);
-    lone.sent.clear();
-    lone.pass(1_000);
-    assert!(lone.grants().is_empty());
+    harness.hear("b", accepted);
+    harness.sent.clear();
+    harness.pass(1_000);
+    assert!(harness.grants().is_empty());
 }
 
-/// The load permits that the store's home gives within `millis` to group `g` of `b`, whose demand is
-/// repeated.
-fn permitted(lone: &mut Lone, millis: u64) -> usize {
-    let before = lone.sent.len();
+/// Returns the number of load permits that the store's owner grants within `millis` to a group
+/// owned by `b`, which repeats its demand.
+fn granted_load_permits(harness: &mut Lone, millis: u64) -> usize {
+    let before = harness.sent.len();
     for round in 0..millis / 50 {
         let demand = LoadDemand {
             group: group(),
@@ -314,30 +326,36 @@
             batch: 0,
             loading: Vec::new(),
         };
-        lone.hear("b", EnginesMessage::LoadDemand(demand));
-        lone.pass(50);
+        harness.hear("b", EnginesMessage::LoadDemand(demand));
+        harness.pass(50);
     }
-    let given = |message: &EnginesMessage| matches!(message, EnginesMessage::MayLoad { .. });
-    lone.sent[before..]
+    let is_load_permit =
+        |message: &EnginesMessage| matches!(message, EnginesMessage::LoadPermit { .. });
+    harness.sent[before..]
         .iter()
-        .filter(|(_, it)| given(it))
+        .filter(|(_, it)| is_load_permit(it))
         .count()
 }
 
-// The store slows down for all: a new home permits loads while those of the former one begin.
+// Guards against a store that becomes slow for all groups, as its new owner permits loads while
+// those permitted by the former owner start.
 #[test]
-fn the_stores_new_home_waits_and_keeps_rate_and_limit() {
-    let mut lone = Lone::home(&CHECKS);
-    assert_eq!(permitted(&mut lone, 950), 0);
-    assert_eq!(permitted(&mut lone, 1_000), 3, "three a second");
-    assert_eq!(permitted(&mut lone, 1_000), 3);
-    assert_eq!(permitted(&mut lone, 10_000), 30);
+fn new_store_owner_waits_and_keeps_the_rate() {
+    let mut harness = Lone::home(&CHECKS_FENCING);
+    assert_eq!(granted_load_permits(&mut harness, 950), 0);
+    assert_eq!(
+        granted_load_permits(&mut harness, 1_000),
+        3,
+        "three a second"
+    );
+    assert_eq!(granted_load_permits(&mut harness, 1_000), 3);
+    assert_eq!(granted_load_permits(&mut harness, 10_000), 30);
 }
 
 #[test]
-fn the_stores_home_counts_loads_in_flight() {
-    let mut lone = Lone::home(&CHECKS);
-    lone.pass(1_100);
+fn store_owner_counts_loads_in_flight() {
+    let mut harness = Lone::home(&CHECKS_FENCING);
+    harness.pass(1_100);
     let demand = LoadDemand {
         group: group(),
         sequence: 1,
@@ -345,37 +363,39 @@
         batch: 0,
         loading: (0..8).map(|number| permit(4, number)).collect(),
     };
-    lone.hear("b", EnginesMessage::LoadDemand(demand));
-    lone.pass(1_000);
-    let given = |message: &EnginesMessage| matches!(message, EnginesMessage::MayLoad { .. });
+    harness.hear("b", EnginesMessage::LoadDemand(demand));
+    harness.pass(1_000);
+    let is_load_permit =
+        |message: &EnginesMessage| matches!(message, EnginesMessage::LoadPermit { .. });
     assert!(
-        !lone.sent.iter().any(|(_, it)| given(it)),
+        !harness.sent.iter().any(|(_, it)| is_load_permit(it)),
         "eight are in flight"
     );
 }
 
-// One load permit loads two adapters: its message came twice.
+// Guards against two loads under one load permit whose message was duplicated.
 #[test]
-fn a_load_permit_is_used_once_and_in_time() {
+fn load_permit_is_used_once_and_in_time() {
     for (late, used) in [(false, 1), (true, 0)] {
-        let mut lone = Lone::entry(&CHECKS);
-        let members = &mut lone.own.map.members;
+        let mut harness = Lone::entry(&CHECKS_FENCING);
+        let members = &mut harness.own.map.members;
         members[0].state = bluebellstage_core::MemberState::Active;
-        while lone.own.home(&bluebellstage_core::HomeKey::WeightStore) == Some(&lone.own.me.id)
-            || !lone.acts()
+        while harness.own.home(&bluebellstage_core::HomeKey::WeightStore)
+            == Some(&harness.own.me.id)
+            || !harness.acts()
         {
-            rename_second(&mut lone);
+            rename_second_member(&mut harness);
         }
-        let store = lone.own.map.members[1].id.clone();
-        lone.list(&CHECKS.many(2, 1));
-        lone.pass(50);
-        lone.answer(&report(&[], &[]));
-        lone.holding(store.as_str(), Vec::new());
-        lone.holding("c", Vec::new());
-        lone.asked("c", 1, ask(1));
-        lone.asked("c", 2, ask(2));
-        lone.pass(50);
-        let asked_for = lone
+        let store_owner = harness.own.map.members[1].id.clone();
+        harness.list(&CHECKS_FENCING.many(2, 1));
+        harness.pass(50);
+        harness.answer(&report(&[], &[]));
+        harness.holding(store_owner.as_str(), Vec::new());
+        harness.holding("c", Vec::new());
+        harness.asked("c", 1, ask(1));
+        harness.asked("c", 2, ask(2));
+        harness.pass(50);
+        let demand_sequence = harness
             .sent
             .iter()
             .rev()
@@ -384,69 +404,70 @@
                 _ => None,
             });
         if late {
-            lone.now = lone.now + Duration::from_secs(2);
+            harness.now = harness.now + Duration::from_secs(2);
         }
-        let may = EnginesMessage::MayLoad {
+        let load_permit = EnginesMessage::LoadPermit {
             group: group(),
-            sequence: asked_for.expect("a demand"),
+            sequence: demand_sequence.expect("a demand"),
             permit: permit(5, 1),
         };
-        lone.hear(store.as_str(), may.clone());
-        lone.hear(store.as_str(), may);
-        assert_eq!(lone.loads(), used, "late: {late}");
+        harness.hear(store_owner.as_str(), load_permit.clone());
+        harness.hear(store_owner.as_str(), load_permit);
+        assert_eq!(harness.loads(), used, "late: {late}");
     }
 }
 
-/// Gives the second member another name, until the store's home is there and the group's here.
-fn rename_second(lone: &mut Lone) {
-    let member = &mut lone.own.map.members[1];
+/// Renames the second member. Repeated until the second member owns the store and the local
+/// instance owns the group.
+fn rename_second_member(harness: &mut Lone) {
+    let member = &mut harness.own.map.members[1];
     let name = format!("{}x", member.id);
     member.id = support::lone::instance(&name);
-    lone.step(bluebellstage_core::engines::Engines::map_changed);
+    harness.step(bluebellstage_core::engines::Engines::map_changed);
 }
 
-// Overnight work waits for ever behind urgent work that never stops.
+// Guards against a batch request that waits forever behind a continuous stream of urgent requests.
 #[test]
-fn overnight_work_ages_into_the_urgent_line() {
-    let mut lone = running(&CHECKS);
-    let mut overnight = ask(1);
-    overnight.urgent = false;
+fn long_waiting_batch_request_becomes_urgent() {
+    let mut harness = running_owner(&CHECKS_FENCING);
+    let mut batch_request = ask(1);
+    batch_request.urgent = false;
     let mut number = 1;
     for _ in 0..12 {
-        lone.asked("b", number, ask(1));
+        harness.asked("b", number, ask(1));
         number += 1;
     }
-    lone.asked("c", 500, overnight.clone());
+    harness.asked("c", 500, batch_request.clone());
     let mut granted_at = None;
     for _ in 0..600 {
-        lone.asked("b", number, ask(1));
+        harness.asked("b", number, ask(1));
         number += 1;
-        lone.asked("c", 500, overnight.clone());
-        pass_answering(&mut lone, 50, &both());
-        if granted_at.is_none() && lone.grants().iter().any(|it| it.number.0 == 500) {
-            granted_at = Some(lone.now);
+        harness.asked("c", 500, batch_request.clone());
+        pass_with_reports(&mut harness, 50, &both_adapters());
+        if granted_at.is_none() && harness.grants().iter().any(|it| it.number.0 == 500) {
+            granted_at = Some(harness.now);
         }
-        end_one(&mut lone);
+        end_first_permit(&mut harness);
     }
-    let at = granted_at.expect("never let in");
+    let at = granted_at.expect("never granted");
     assert!(
         at < Time::from_millis(1_000) + Duration::from_secs(20),
         "{at}"
     );
 }
 
-fn end_one(lone: &mut Lone) {
-    let first = lone.grants().first().map(|it| it.permit);
+fn end_first_permit(harness: &mut Lone) {
+    let first = harness.grants().first().map(|it| it.permit);
     let Some(permit) = first else {
         return;
     };
-    lone.sent.retain(
+    harness.sent.retain(
         |(_, message)| !matches!(message, EnginesMessage::Grant(it) if it.permit == permit),
     );
-    let end = EnginesMessage::Ended {
+    let end = EnginesMessage::PermitEnded {
         group: group(),
         permit,
         end: PermitEnd::Used,
     };
-    lone.hear("b", end);
+    harness.hear("b", end);
 }
--- a/crates/core/tests/support/engines/fleet.rs
+++ b/crates/core/tests/support/engines/fleet.rs
@@ -1,6 +1,6 @@
 //! Builders for worlds, engines and asks.
 
-use bluebellstage_core::engines::PermitAsk;
+use bluebellstage_core::engines::PermitRequest;
 use bluebellstage_core::{
     AdapterId, AdapterRef, AdapterVersion, BaseModel, FailureDomain, RequestId, TargetId,
     TargetInfo, TargetKind, Tokens, WorkspaceId,
@@ -50,8 +50,8 @@
 }
 
 /// An ask of workspace `w0` for adapter `index`; urgent.
-pub fn ask(index: u32) -> PermitAsk {
-    PermitAsk {
+pub fn ask(index: u32) -> PermitRequest {
+    PermitRequest {
         request: RequestId(0),
         workspace: workspace(0),
         adapter: adapter(index),
--- a/crates/core/tests/support/engines/lone.rs
+++ b/crates/core/tests/support/engines/lone.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bluebellstage_core::engines::{
-    AskNumber, Engines, EnginesMessage, Grant, GroupStatus, PermitAsk, PermitDecision, PermitRef,
-    QueueAsk,
+    Engines, EnginesMessage, EnqueueRequest, Grant, GroupStatus, PermitDecision, PermitId,
+    PermitRequest, PermitRequestNumber,
 };
 use bluebellstage_core::{
     Action, AdapterRef, Adoption, Cx, EngineReport, GroupId, HomeKey, Incarnation, InstanceId, Map,
@@ -149,20 +149,20 @@
     }
 
     /// `from` asks for a place.
-    pub fn asked(&mut self, from: &str, number: u64, ask: PermitAsk) {
-        let asked = QueueAsk {
-            number: AskNumber(number),
+    pub fn asked(&mut self, from: &str, number: u64, ask: PermitRequest) {
+        let asked = EnqueueRequest {
+            number: PermitRequestNumber(number),
             incarnation: Incarnation(1),
             group: group(),
-            ask,
-            stray: false,
+            request: ask,
+            is_fallback: false,
         };
-        self.hear(from, EnginesMessage::Ask(Box::new(asked)));
+        self.hear(from, EnginesMessage::Enqueue(Box::new(asked)));
     }
 
     /// `from` says what it holds.
     pub fn holding(&mut self, from: &str, permits: Vec<bluebellstage_core::engines::HeldPermit>) {
-        let message = EnginesMessage::Holding {
+        let message = EnginesMessage::HeldPermits {
             group: group(),
             revision: self.own.revision(),
             incarnation: Incarnation(1),
@@ -223,8 +223,8 @@
     }
 
     /// Whether `permit` was handed back, or its end reported.
-    pub fn ended(&self, permit: PermitRef) -> usize {
-        let is_end = |message: &EnginesMessage| matches!(message, EnginesMessage::Ended { permit: it, .. } if *it == permit);
+    pub fn ended(&self, permit: PermitId) -> usize {
+        let is_end = |message: &EnginesMessage| matches!(message, EnginesMessage::PermitEnded { permit: it, .. } if *it == permit);
         self.sent.iter().filter(|(_, it)| is_end(it)).count()
     }
 
@@ -245,17 +245,17 @@
     TargetId::try_from("e0").unwrap()
 }
 
-pub const fn permit(revision: u64, number: u64) -> PermitRef {
-    PermitRef {
+pub const fn permit(revision: u64, number: u64) -> PermitId {
+    PermitId {
         revision: Revision(revision),
         number,
     }
 }
 
 /// A grant for ask `number` of the instance under test.
-pub fn grant(number: u64, permit: PermitRef) -> EnginesMessage {
+pub fn grant(number: u64, permit: PermitId) -> EnginesMessage {
     EnginesMessage::Grant(Box::new(Grant {
-        number: AskNumber(number),
+        number: PermitRequestNumber(number),
         incarnation: Incarnation(1),
         group: group(),
         permit,
--- a/crates/core/tests/support/engines/record.rs
+++ b/crates/core/tests/support/engines/record.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use bluebellstage_core::engines::PermitAsk;
+use bluebellstage_core::engines::PermitRequest;
 use bluebellstage_core::{RefusalKind, RequestId, TargetId};
 
 /// One caller's request; times in microseconds of the world's clock.
 #[derive(Clone, Debug)]
 pub struct Record {
-    pub ask: PermitAsk,
+    pub ask: PermitRequest,
     pub node: usize,
     pub life: u64,
     pub answer: u64,
--- a/crates/core/tests/support/engines/shell.rs
+++ b/crates/core/tests/support/engines/shell.rs
@@ -173,7 +173,7 @@
 
     /// The shell tells the core; a request that did not run asks again.
     pub(super) fn request_ended(&mut self, node: usize, request: RequestId, end: PermitEnd) {
-        self.step(node, |core, cx| core.finished(cx, request, end));
+        self.step(node, |core, cx| core.permit_ended(cx, request, end));
         if end == PermitEnd::Used {
             return;
         }
@@ -184,7 +184,7 @@
         self.record.undecided += 1;
         record.asked = self.now;
         let ask = record.ask.clone();
-        self.step(node, |core, cx| core.ask(cx, ask));
+        self.step(node, |core, cx| core.request_permit(cx, ask));
     }
 
     /// Requests of instances in the map never exceed an engine's batch; what lives that left the map
--- a/crates/core/tests/support/engines/world.rs
+++ b/crates/core/tests/support/engines/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bluebellstage_core::engines::{
-    Engines, EnginesMessage, Permit, PermitAsk, PermitDecision, PermitEnd,
+    Engines, EnginesMessage, Permit, PermitDecision, PermitEnd, PermitRequest,
 };
 use bluebellstage_core::{
     Adoption, Cx, InstanceId, OrderId, OrderOutcome, RequestId, TargetId, TargetInfo, TargetOrder,
@@ -205,7 +205,7 @@
     }
 
     /// A caller asks node `node`.
-    pub fn ask(&mut self, node: usize, mut ask: PermitAsk, answer: u64) -> RequestId {
+    pub fn ask(&mut self, node: usize, mut ask: PermitRequest, answer: u64) -> RequestId {
         let request = RequestId(self.next_request);
         self.next_request += 1;
         ask.request = request;
@@ -227,7 +227,7 @@
         };
         self.record.requests.insert(request, record);
         self.record.undecided += 1;
-        self.step(node, |core, cx| core.ask(cx, ask));
+        self.step(node, |core, cx| core.request_permit(cx, ask));
         request
     }
 
@@ -253,7 +253,7 @@
     /// Permits that acting homes count as out.
     pub fn permits_out(&self) -> usize {
         let living = self.nodes.iter().filter(|it| it.alive);
-        living.map(|it| it.core.permits_out()).sum()
+        living.map(|it| it.core.outstanding_permits()).sum()
     }
 
     /// Whether callers can reach node `node`.
