--- a/crates/cli/src/view.rs
+++ b/crates/cli/src/view.rs
@@ -6,7 +6,7 @@
 use bluebellstage_core::engines::GroupSummary;
 use bluebellstage_core::journal::InDoubt;
 use bluebellstage_core::{
-    FailureDomain, HomeKey, InstanceId, KeyId, MemberRef, MemberState, Revision, WorkspaceId,
+    FailureDomain, InstanceId, KeyId, MemberRef, MemberState, OwnershipKey, Revision, WorkspaceId,
 };
 use serde::{Deserialize, Serialize};
 
@@ -36,7 +36,7 @@
     pub(crate) map: Map,
     pub(crate) catalogue: CatalogueStatus,
     pub(crate) instances: Vec<InstanceCatalogue>,
-    pub(crate) homes: Vec<HomeKey>,
+    pub(crate) homes: Vec<OwnershipKey>,
     pub(crate) groups: Vec<GroupSummary>,
     pub(crate) requests: u64,
     pub(crate) in_doubt: u64,
--- a/crates/core/examples/rates_slopes.rs
+++ b/crates/core/examples/rates_slopes.rs
@@ -76,7 +76,7 @@
         let nodes = map.members.iter().map(|member| Node {
             rates: Rates::new(&Tuning::default()),
             own: Ownership {
-                standing_until: Time(u64::MAX),
+                lease_expires_at: Time(u64::MAX),
                 past_retired_at: Some(Time(0)),
                 ..Ownership::new(member.member_ref(), map.clone())
             },
@@ -121,7 +121,8 @@
             self.cost.messages += 1;
             self.cost.bytes += serde_json::to_vec(&message).expect("serialises").len() as u64;
             if let PeerMessage::Rates(message) = *message {
-                self.queue.push_back((node.own.me.id.clone(), to, message));
+                self.queue
+                    .push_back((node.own.local.id.clone(), to, message));
             }
         }
         result
@@ -134,7 +135,7 @@
             self.now = self.now + STEP;
             self.steps += 1;
             for (from, to, message) in std::mem::take(&mut self.queue) {
-                let to = self.nodes.iter().position(|node| node.own.me.id == to);
+                let to = self.nodes.iter().position(|node| node.own.local.id == to);
                 let Some(to) = to else {
                     continue;
                 };
@@ -181,7 +182,7 @@
         map.members.pop();
         map.revision = map.revision.next();
         let adoption = |member: &Member| Adoption {
-            life: member.member_ref(),
+            member_ref: member.member_ref(),
             map: map.revision,
         };
         let adopted: BTreeSet<Adoption> = map.members.iter().map(adoption).collect();
--- a/crates/core/src/catalogue/core.rs
+++ b/crates/core/src/catalogue/core.rs
@@ -8,7 +8,7 @@
 use crate::membership::CatalogueQuorum;
 use crate::platform::PlatformAnswer;
 use crate::{
-    Action, CallId, Cx, HomeKey, InstanceId, Notice, ObjectVersion, PeerMessage, PlatformCall,
+    Action, CallId, Cx, InstanceId, Notice, ObjectVersion, OwnershipKey, PeerMessage, PlatformCall,
     PlatformOp, PlatformPurpose, PlatformReply, Revision, Time,
 };
 
@@ -171,7 +171,7 @@
         let Some(quorum) = quorum else {
             return;
         };
-        self.held = self.held.max(quorum.held);
+        self.held = self.held.max(quorum.majority_revision);
         if !self.loaded || self.unsure_since.is_some() {
             return;
         }
@@ -181,7 +181,7 @@
         }
         self.fresh_until = self
             .fresh_until
-            .max(quorum.asked + cx.own.map.terms.standing);
+            .max(quorum.confirmed_at + cx.own.map.terms.lease_duration);
     }
 
     fn read_if_due(&mut self, cx: &mut Cx<'_>) {
@@ -190,7 +190,7 @@
         }
         let behind =
             !self.loaded || self.wanted > self.state.revision || self.unsure_since.is_some();
-        let running_out = self.fresh_until.since(cx.now) < cx.own.map.terms.standing / 2;
+        let running_out = self.fresh_until.since(cx.now) < cx.own.map.terms.lease_duration / 2;
         if behind || running_out || self.writer.wants_head() {
             self.read_head(cx);
         }
@@ -287,7 +287,7 @@
         {
             self.fresh_until = self
                 .fresh_until
-                .max(proof.asked + cx.own.map.terms.standing);
+                .max(proof.asked + cx.own.map.terms.lease_duration);
             if self.unsure_since.is_some_and(|since| proof.asked >= since) {
                 self.unsure_since = None;
             }
@@ -428,7 +428,7 @@
     }
 
     fn compact(&mut self, cx: &mut Cx<'_>) {
-        let may = cx.own.acts(cx.now, &HomeKey::Catalogue)
+        let may = cx.own.may_act(cx.now, &OwnershipKey::Catalogue)
             && self.writer.len() == 0
             && !self.reader.is_busy();
         if !may || self.head.head.revision != self.state.revision {
@@ -459,7 +459,7 @@
 fn peers(cx: &Cx<'_>) -> Vec<InstanceId> {
     let members = cx.own.map.members.iter();
     members
-        .filter(|member| member.id != cx.own.me.id)
+        .filter(|member| member.id != cx.own.local.id)
         .map(|member| member.id.clone())
         .collect()
 }
--- a/crates/core/src/catalogue/writer.rs
+++ b/crates/core/src/catalogue/writer.rs
@@ -279,8 +279,8 @@
     /// takes a majority of a map that was proved current after the change was written: whoever
     /// joins later reads a head that holds it.
     pub(super) fn settle(&mut self, cx: &mut Cx<'_>, held: Revision) {
-        let proved = cx.own.standing_until - cx.own.map.terms.standing;
-        let has_standing = cx.own.has_standing(cx.now);
+        let proved = cx.own.lease_expires_at - cx.own.map.terms.lease_duration;
+        let has_standing = cx.own.has_lease(cx.now);
         let mut settled = Vec::new();
         self.spreading.retain(|change| {
             let accepted = held >= change.revision && has_standing && proved >= change.written;
--- a/crates/core/src/engines/candidates.rs
+++ b/crates/core/src/engines/candidates.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{AdapterRef, BaseModel, GroupId, HomeKey, Ownership, Placement, Time};
+use crate::{AdapterRef, BaseModel, GroupId, Ownership, OwnershipKey, Placement, Time};
 
 use super::targets::{ListedGroup, Targets};
 use super::view::GroupView;
@@ -115,11 +115,11 @@
     }
 
     fn is_home_silent(&self, id: &GroupId) -> bool {
-        if self.own.silent.is_empty() {
+        if self.own.unresponsive.is_empty() {
             return false;
         }
-        let home = self.own.home(&HomeKey::Group(id.clone()));
-        home.is_some_and(|home| self.own.silent.contains(home))
+        let home = self.own.owner(&OwnershipKey::Group(id.clone()));
+        home.is_some_and(|home| self.own.unresponsive.contains(home))
     }
 
     /// A group that holds the adapter, else the first of the rendezvous order with a slot to spare,
--- a/crates/core/src/engines/core.rs
+++ b/crates/core/src/engines/core.rs
@@ -5,7 +5,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    Cx, GroupId, HomeKey, InstanceId, MemberRef, OrderId, OrderOutcome, RequestId, TargetId,
+    Cx, GroupId, InstanceId, MemberRef, OrderId, OrderOutcome, OwnershipKey, RequestId, TargetId,
     TargetInfo, Tuning,
 };
 
@@ -163,7 +163,7 @@
         let mut decisions = std::mem::take(&mut self.undelivered);
         let cfg = self.cfg.clone();
         let mut next_order = self.next_order;
-        let me = cx.own.me.id.clone();
+        let me = cx.own.local.id.clone();
         let mut io = Io {
             cx,
             cfg: &cfg,
@@ -185,7 +185,7 @@
         let own = io.cx.own;
         self.targets = Targets::new(&self.listed, own.map.terms.grouping);
         for id in self.targets.groups.keys() {
-            let is_home = own.is_home(&HomeKey::Group(id.clone()));
+            let is_home = own.is_owner(&OwnershipKey::Group(id.clone()));
             if is_home && !self.homes.contains_key(id) {
                 let seed = self.seed ^ xxh3_64(id.as_str().as_bytes());
                 let home = GroupHome::new(id.clone(), io.cfg, own.revision(), seed);
@@ -195,7 +195,7 @@
         for (id, home) in &mut self.homes {
             home.set_engines(self.targets.groups.get(id), io.now());
         }
-        if self.store.is_none() && own.is_home(&HomeKey::WeightStore) {
+        if self.store.is_none() && own.is_owner(&OwnershipKey::WeightStore) {
             self.store = Some(StoreHome::new(own.revision()));
         }
     }
--- a/crates/core/src/engines/entry.rs
+++ b/crates/core/src/engines/entry.rs
@@ -6,8 +6,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    AdapterRef, GroupId, HomeKey, InstanceId, Refusal, RefusalKind, RequestId, Revision, TargetId,
-    Time,
+    AdapterRef, GroupId, InstanceId, OwnershipKey, Refusal, RefusalKind, RequestId, Revision,
+    TargetId, Time,
 };
 
 use super::candidates::{Candidates, Choice};
@@ -150,7 +150,10 @@
         };
         let placement = io.cfg.placement;
         let choice = candidates.choose(placement, &ask.base_model, &ask.adapter, self.random)?;
-        let home = io.cx.own.home(&HomeKey::Group(choice.group.clone()))?;
+        let home = io
+            .cx
+            .own
+            .owner(&OwnershipKey::Group(choice.group.clone()))?;
         Some((choice, home.clone()))
     }
 
@@ -209,7 +212,12 @@
                 continue;
             }
             end.send_at = now + ANSWER_WAIT;
-            let Some(home) = io.cx.own.home(&HomeKey::Group(group.clone())).cloned() else {
+            let Some(home) = io
+                .cx
+                .own
+                .owner(&OwnershipKey::Group(group.clone()))
+                .cloned()
+            else {
                 continue;
             };
             let message = EnginesMessage::Ended {
@@ -275,7 +283,7 @@
             .filter(|(_, open)| match &open.stage {
                 Stage::Unplaced { .. } => false,
                 Stage::Sent { group, home, .. } | Stage::Queued { group, home, .. } => {
-                    io.cx.own.home(&HomeKey::Group(group.clone())) != Some(home)
+                    io.cx.own.owner(&OwnershipKey::Group(group.clone())) != Some(home)
                 }
             })
             .map(|(number, _)| *number)
--- a/crates/core/src/engines/home.rs
+++ b/crates/core/src/engines/home.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::{
-    AdapterRef, GroupId, HomeKey, InstanceId, MemberRef, OrderId, Placement, Refusal, RefusalKind,
-    Revision, TargetId, Time, Tuning,
+    AdapterRef, GroupId, InstanceId, MemberRef, OrderId, OwnershipKey, Placement, Refusal,
+    RefusalKind, Revision, TargetId, Time, Tuning,
 };
 
 use super::engine::{Engine, Presence};
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub(super) struct GroupHome {
     pub(super) id: GroupId,
-    pub(super) key: HomeKey,
+    pub(super) key: OwnershipKey,
     pub(super) engines: BTreeMap<TargetId, Engine>,
     pub(super) queue: Queue,
     pub(super) permits: BTreeMap<PermitRef, Outstanding>,
@@ -84,7 +84,7 @@
 impl GroupHome {
     pub(super) fn new(id: GroupId, cfg: &Tuning, revision: Revision, seed: u64) -> Self {
         Self {
-            key: HomeKey::Group(id.clone()),
+            key: OwnershipKey::Group(id.clone()),
             id,
             engines: BTreeMap::new(),
             queue: Queue::new(cfg.queue),
@@ -136,7 +136,7 @@
             return;
         }
         let number = asked.number;
-        if !io.cx.own.acts(now, &self.key) {
+        if !io.cx.own.may_act(now, &self.key) {
             self.turn_away(io, from, number, RefusalKind::NoStanding);
             return;
         }
@@ -287,7 +287,7 @@
     /// Does all that is due.
     pub(super) fn act(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        if !io.cx.own.acts(now, &self.key) {
+        if !io.cx.own.may_act(now, &self.key) {
             return;
         }
         self.settle(io);
--- a/crates/core/src/engines/io.rs
+++ b/crates/core/src/engines/io.rs
@@ -28,12 +28,12 @@
     }
 
     pub(super) const fn me(&self) -> &MemberRef {
-        &self.cx.own.me
+        &self.cx.own.local
     }
 
     /// Sends a message; one to this instance itself is taken in the same step.
     pub(super) fn send(&mut self, to: &InstanceId, message: EnginesMessage) {
-        if *to == self.cx.own.me.id {
+        if *to == self.cx.own.local.id {
             self.local.push_back(message);
             return;
         }
@@ -51,7 +51,7 @@
             target: engine.id.clone(),
             address: engine.address,
             fencing: self.cx.own.fencing(),
-            send_before: self.cx.own.standing_until,
+            send_before: self.cx.own.lease_expires_at,
             kind,
         }));
         id
--- a/crates/core/src/engines/loading.rs
+++ b/crates/core/src/engines/loading.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::{AdapterRef, HomeKey, InstanceId, Revision, TargetId, Time, Tokens, WorkspaceId};
+use crate::{AdapterRef, InstanceId, OwnershipKey, Revision, TargetId, Time, Tokens, WorkspaceId};
 
 use super::engine::Engine;
 use super::home::GroupHome;
@@ -311,7 +311,7 @@
         let idle = counts == (0, 0) && loading.held.is_empty();
         let due = now >= loading.sent_at + DEMAND_REFRESH && !idle;
         let changed = counts != loading.sent && now >= loading.sent_at + DEMAND_INTERVAL;
-        let Some(home) = io.cx.own.home(&HomeKey::WeightStore).cloned() else {
+        let Some(home) = io.cx.own.owner(&OwnershipKey::WeightStore).cloned() else {
             return;
         };
         if !due && !changed {
@@ -352,7 +352,7 @@
     ) {
         let now = io.now();
         let asked_for = self.loading.demands.iter().find(|(it, _)| *it == sequence);
-        let current = io.cx.own.home(&HomeKey::WeightStore) == Some(from)
+        let current = io.cx.own.owner(&OwnershipKey::WeightStore) == Some(from)
             && permit.revision >= self.loading.newest;
         let use_before = match asked_for {
             Some((_, at)) if current && now < *at + LOAD_START => *at + LOAD_START,
@@ -375,7 +375,7 @@
         before: Time,
     ) -> bool {
         let now = io.now();
-        if !io.cx.own.acts(now, &self.key) {
+        if !io.cx.own.may_act(now, &self.key) {
             return false;
         }
         let none = BTreeSet::new();
@@ -402,7 +402,7 @@
 
     pub(super) fn hand_back(&mut self, io: &mut Io<'_, '_>, permit: PermitRef, used: bool) {
         self.loading.held.remove(&permit);
-        let Some(home) = io.cx.own.home(&HomeKey::WeightStore).cloned() else {
+        let Some(home) = io.cx.own.owner(&OwnershipKey::WeightStore).cloned() else {
             return;
         };
         let message = EnginesMessage::Loaded {
--- a/crates/core/src/engines/orders.rs
+++ b/crates/core/src/engines/orders.rs
@@ -163,7 +163,7 @@
             return;
         };
         let in_time = self.loading.held.get(&permit).is_some_and(|it| now < *it);
-        let acts = io.cx.own.acts(now, &self.key);
+        let acts = io.cx.own.may_act(now, &self.key);
         if *outcome == OrderOutcome::Done && in_time && acts {
             self.order_load(io, target, next, permit);
         } else {
--- a/crates/core/src/engines/store.rs
+++ b/crates/core/src/engines/store.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::{GroupId, HomeKey, InstanceId, Ownership, Revision, Time};
+use crate::{GroupId, InstanceId, Ownership, OwnershipKey, Revision, Time};
 
 use super::io::Io;
 use super::message::LoadDemand;
@@ -57,7 +57,7 @@
     /// Notes the map in force; false if another instance may have been the store's home meanwhile.
     pub(super) fn survives(&mut self, own: &Ownership) -> bool {
         let since = std::mem::replace(&mut self.revision, own.revision());
-        was_home_throughout(own, &HomeKey::WeightStore, since)
+        was_home_throughout(own, &OwnershipKey::WeightStore, since)
     }
 
     pub(super) fn demand(&mut self, io: &Io<'_, '_>, from: &InstanceId, demand: LoadDemand) {
@@ -92,7 +92,7 @@
     /// Permits what the limits allow now.
     pub(super) fn act(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        if !io.cx.own.acts(now, &HomeKey::WeightStore) {
+        if !io.cx.own.may_act(now, &OwnershipKey::WeightStore) {
             return;
         }
         let began = *self.began.get_or_insert(now);
--- a/crates/core/src/engines/summary.rs
+++ b/crates/core/src/engines/summary.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{AdapterRef, GroupId, HomeKey, InstanceId, Ownership, TargetId};
+use crate::{AdapterRef, GroupId, InstanceId, Ownership, OwnershipKey, TargetId};
 
 use super::Engines;
 use super::engine::{Engine, Presence};
@@ -55,7 +55,7 @@
         let groups = self.targets.groups.keys();
         let summary = |id: &GroupId| GroupSummary {
             id: id.clone(),
-            home: own.home(&HomeKey::Group(id.clone())).cloned(),
+            home: own.owner(&OwnershipKey::Group(id.clone())).cloned(),
             schedule: self.homes.get(id).map(GroupSchedule::from),
         };
         groups.map(summary).collect()
--- a/crates/core/src/engines/taking.rs
+++ b/crates/core/src/engines/taking.rs
@@ -1,6 +1,6 @@
 //! Permits as the instance that asked takes and holds them.
 
-use crate::{GroupId, HomeKey, InstanceId, Revision};
+use crate::{GroupId, InstanceId, OwnershipKey, Revision};
 
 use super::entry::{Entry, Held, OpenAsk};
 use super::io::Io;
@@ -32,7 +32,7 @@
             return;
         };
         let now = io.now();
-        let send_before = (now + io.cfg.permit_start).min(io.cx.own.standing_until);
+        let send_before = (now + io.cfg.permit_start).min(io.cx.own.lease_expires_at);
         let adapter = open.ask.adapter;
         let request = open.ask.request;
         self.views
@@ -64,10 +64,10 @@
 
     fn take_open(&mut self, io: &Io<'_, '_>, from: &InstanceId, grant: &Grant) -> Option<OpenAsk> {
         let own = io.cx.own;
-        let key = HomeKey::Group(grant.group.clone());
+        let key = OwnershipKey::Group(grant.group.clone());
         let floor = self.floors.get(&grant.group).copied().unwrap_or_default();
-        let valid = own.has_standing(io.now())
-            && own.home(&key) == Some(from)
+        let valid = own.has_lease(io.now())
+            && own.owner(&key) == Some(from)
             && grant.permit.revision >= floor;
         if !valid {
             return None;
--- a/crates/core/src/engines/tenure.rs
+++ b/crates/core/src/engines/tenure.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{HomeKey, MemberRef, Ownership, Revision, Time};
+use crate::{MemberRef, Ownership, OwnershipKey, Revision, Time};
 
 use super::PermitRef;
 use super::timing::{FLIGHT, REPORT_LAG};
@@ -91,15 +91,15 @@
 ///
 /// Guards against an instance that slept through its being dropped and added again: what it
 /// remembers of permits and slots is void.
-pub(super) fn was_home_throughout(own: &Ownership, key: &HomeKey, since: Revision) -> bool {
+pub(super) fn was_home_throughout(own: &Ownership, key: &OwnershipKey, since: Revision) -> bool {
     let mut between = (since.0 + 1)..own.revision().0;
-    own.is_home(key)
+    own.is_owner(key)
         && own.is_member()
         && between.all(|revision| {
             own.map.history.iter().any(|past| {
                 past.revision.0 == revision
-                    && past.home(key) == Some(&own.me.id)
-                    && past.members.contains(&own.me)
+                    && past.owner(key) == Some(&own.local.id)
+                    && past.members.contains(&own.local)
             })
         })
 }
--- a/crates/core/src/engines/unpermitted.rs
+++ b/crates/core/src/engines/unpermitted.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{HomeKey, Time};
+use crate::{OwnershipKey, Time};
 
 use super::PermitRef;
 use super::home::GroupHome;
@@ -32,8 +32,8 @@
     /// tried again later.
     pub(super) fn load_without_permit(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        let home = io.cx.own.home(&HomeKey::WeightStore);
-        let is_silent = home.is_some_and(|home| io.cx.own.silent.contains(home));
+        let home = io.cx.own.owner(&OwnershipKey::WeightStore);
+        let is_silent = home.is_some_and(|home| io.cx.own.unresponsive.contains(home));
         let state = &mut self.loading.unpermitted;
         if !is_silent {
             state.silent_since = None;
--- a/crates/core/src/instance/arrival.rs
+++ b/crates/core/src/instance/arrival.rs
@@ -28,7 +28,7 @@
         if self.has_ended() {
             return Err(Refusal::retry_after(RefusalKind::Stopping, RETRY_AFTER));
         }
-        if !self.own().has_standing(now) || !self.catalogue.is_fresh(now) {
+        if !self.own().has_lease(now) || !self.catalogue.is_fresh(now) {
             return Err(Refusal::retry_after(RefusalKind::NoStanding, RETRY_AFTER));
         }
         let Some(key) = self.catalogue().key(&request.key) else {
--- a/crates/core/src/instance/core.rs
+++ b/crates/core/src/instance/core.rs
@@ -115,7 +115,7 @@
                 .iter()
                 .filter(|member| member.state == MemberState::Active)
         };
-        let heard = active().filter(|member| !own.silent.contains(&member.id));
+        let heard = active().filter(|member| !own.unresponsive.contains(&member.id));
         let mut addresses: Vec<_> = heard.map(|member| member.caller_address).collect();
         if addresses.is_empty() {
             addresses = active().map(|member| member.caller_address).collect();
@@ -149,9 +149,9 @@
         let active = self
             .own()
             .map
-            .member(&self.own().me.id)
+            .member(&self.own().local.id)
             .is_some_and(|me| me.state == MemberState::Active);
-        active && self.own().has_standing(now) && self.catalogue.is_fresh(now)
+        active && self.own().has_lease(now) && self.catalogue.is_fresh(now)
     }
 
     /// Whether no caller's request is under way.
@@ -191,7 +191,7 @@
         self.membership
             .tick(now, self.catalogue.reported(), &mut self.out);
         if self.catalogue.is_loaded() {
-            self.membership.ready(now);
+            self.membership.set_ready(now);
         }
         let quorum = self.membership.majority_catalogue();
         self.catalogue.tick(cx!(self, now), quorum);
--- a/crates/core/src/instance/status.rs
+++ b/crates/core/src/instance/status.rs
@@ -4,7 +4,7 @@
 
 use crate::catalogue::CatalogueStatus;
 use crate::engines::GroupSummary;
-use crate::{HomeKey, InstanceId, Map, MemberRef, Revision, Time};
+use crate::{InstanceId, Map, MemberRef, OwnershipKey, Revision, Time};
 
 use super::Instance;
 
@@ -24,7 +24,7 @@
     /// What is known here of each instance's catalogue.
     pub instances: Vec<InstanceCatalogue>,
     /// Workspaces that this instance is home of, and acts for now.
-    pub homes: Vec<HomeKey>,
+    pub homes: Vec<OwnershipKey>,
     /// Groups of engines.
     pub groups: Vec<GroupSummary>,
     /// Callers' requests under way here.
@@ -52,16 +52,16 @@
         let workspaces = self
             .catalogue()
             .workspaces()
-            .map(|entry| HomeKey::Workspace(entry.id.clone()));
-        let keys = workspaces.chain([HomeKey::WeightStore, HomeKey::Catalogue]);
+            .map(|entry| OwnershipKey::Workspace(entry.id.clone()));
+        let keys = workspaces.chain([OwnershipKey::WeightStore, OwnershipKey::Catalogue]);
         Status {
-            me: own.me.clone(),
+            me: own.local.clone(),
             ready: self.is_ready(now),
-            standing: own.has_standing(now),
+            standing: own.has_lease(now),
             map: own.map.clone(),
             catalogue: self.catalogue.status(now),
             instances: self.catalogues(),
-            homes: keys.filter(|key| own.acts(now, key)).collect(),
+            homes: keys.filter(|key| own.may_act(now, key)).collect(),
             groups: self.engines.groups(own),
             requests: self.flights.len(),
             in_doubt: self.journal.in_doubt().len(),
@@ -71,10 +71,10 @@
 
     fn catalogues(&self) -> Vec<InstanceCatalogue> {
         let map = &self.own().map;
-        let mine = (self.own().me.clone(), Some(self.catalogue.reported()));
+        let mine = (self.own().local.clone(), Some(self.catalogue.reported()));
         let told: Vec<_> = self
             .membership
-            .told_catalogues()
+            .reported_catalogues()
             .map(|(life, revision)| (life.clone(), revision))
             .chain([mine])
             .filter(|(life, _revision)| {
--- a/crates/core/src/instance/stop.rs
+++ b/crates/core/src/instance/stop.rs
@@ -68,7 +68,7 @@
             self.out.push(Action::Exit);
             return;
         }
-        self.membership.drained(now);
+        self.membership.set_drained(now);
     }
 
     /// Whether the process was told to end.
@@ -81,7 +81,7 @@
         own.is_member()
             && own
                 .map
-                .member(&own.me.id)
+                .member(&own.local.id)
                 .is_some_and(|me| me.state == MemberState::Active)
     }
 }
--- a/crates/core/src/journal/book.rs
+++ b/crates/core/src/journal/book.rs
@@ -5,7 +5,7 @@
 
 use crate::platform::{Expected, PlatformAnswer};
 use crate::{
-    Action, CallId, Cx, HomeKey, IdempotencyKey, InstanceId, MemberRef, Notice, ObjectName,
+    Action, CallId, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, ObjectName, OwnershipKey,
     PlatformCall, PlatformOp, PlatformPurpose, RequestId, Time, WorkspaceId,
 };
 
@@ -106,7 +106,10 @@
     }
 
     fn enter(&mut self, cx: &mut Cx<'_>, workspace: &WorkspaceId, item: Item) {
-        if !cx.own.acts(cx.now, &HomeKey::Workspace(workspace.clone())) {
+        if !cx
+            .own
+            .may_act(cx.now, &OwnershipKey::Workspace(workspace.clone()))
+        {
             return;
         }
         let book = self.books.entry(workspace.clone()).or_default();
@@ -168,7 +171,7 @@
     }
 
     fn advance(&mut self, cx: &mut Cx<'_>, workspace: &WorkspaceId) {
-        let key = HomeKey::Workspace(workspace.clone());
+        let key = OwnershipKey::Workspace(workspace.clone());
         while let Some(name) = self.next_page(cx, workspace, &key) {
             self.step_page(cx, workspace, &name);
         }
@@ -184,8 +187,13 @@
     // Guards against a home that was paused: its standing is asked right before each call. The
     // journal would be safe without, by the versions; this keeps two homes from disturbing each
     // other.
-    fn next_page(&self, cx: &Cx<'_>, workspace: &WorkspaceId, key: &HomeKey) -> Option<PageName> {
-        if !cx.own.acts(cx.now, key) {
+    fn next_page(
+        &self,
+        cx: &Cx<'_>,
+        workspace: &WorkspaceId,
+        key: &OwnershipKey,
+    ) -> Option<PageName> {
+        if !cx.own.may_act(cx.now, key) {
             return None;
         }
         let mut pages = self.books.get(workspace)?.pages.iter();
--- a/crates/core/src/journal/core.rs
+++ b/crates/core/src/journal/core.rs
@@ -7,7 +7,7 @@
 
 use crate::platform::PlatformAnswer;
 use crate::{
-    Action, CallId, Cx, HomeKey, IdempotencyKey, InstanceId, MemberRef, Notice, PeerMessage,
+    Action, CallId, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, OwnershipKey, PeerMessage,
     Refusal, RefusalKind, RequestId, Revision, ServiceId, StoredAnswer, Time, Tuning, WorkspaceId,
 };
 
@@ -114,7 +114,7 @@
     pub fn ask(&mut self, cx: &mut Cx<'_>, ask: JournalAsk) -> Vec<JournalDecision> {
         self.sync(cx);
         let request = ask.request;
-        if !cx.own.has_standing(cx.now) {
+        if !cx.own.has_lease(cx.now) {
             let refusal = Refusal::not_run(RefusalKind::NoStanding);
             let step = JournalStep::Refuse(refusal);
             return vec![JournalDecision { request, step }];
@@ -213,7 +213,7 @@
             .collect();
         // A home that is home no more forgets: what it has not said is asked for again elsewhere.
         self.books
-            .retain(|id, _book| cx.own.is_home(&HomeKey::Workspace(id.clone())));
+            .retain(|id, _book| cx.own.is_owner(&OwnershipKey::Workspace(id.clone())));
         self.busy.retain(|id| self.books.contains_key(id));
         for call in self.calls.values_mut() {
             call.hurry(cx.now);
@@ -237,14 +237,14 @@
         let Some(call) = self.calls.get_mut(&request) else {
             return;
         };
-        let key = HomeKey::Workspace(call.ask.workspace.clone());
-        let Some(home) = cx.own.home(&key).cloned() else {
+        let key = OwnershipKey::Workspace(call.ask.workspace.clone());
+        let Some(home) = cx.own.owner(&key).cloned() else {
             return;
         };
         let message = match call.word(cx.now) {
             CallWord::Nothing => return,
             CallWord::Ask => JournalMessage::Ask {
-                sender: cx.own.me.clone(),
+                sender: cx.own.local.clone(),
                 ask: call.ask.clone(),
             },
             CallWord::Report(outcome) => JournalMessage::Report {
@@ -258,7 +258,7 @@
     }
 
     pub(super) fn say(&mut self, cx: &mut Cx<'_>, to: &InstanceId, message: JournalMessage) {
-        if *to == cx.own.me.id {
+        if *to == cx.own.local.id {
             self.inbox.push_back(message);
             return;
         }
@@ -270,7 +270,7 @@
 
     fn drain(&mut self, cx: &mut Cx<'_>) -> Vec<JournalDecision> {
         let mut decisions = Vec::new();
-        let me = cx.own.me.id.clone();
+        let me = cx.own.local.id.clone();
         while let Some(message) = self.inbox.pop_front() {
             self.take(cx, &me, message, &mut decisions);
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -39,7 +39,7 @@
 };
 pub use self::instance::{EntryAnswer, Instance, Status};
 pub use self::keys::KeyDigest;
-pub use self::map::{HomeKey, Map, Member, MemberRef, MemberState, PastMap, Terms};
+pub use self::map::{Map, Member, MemberRef, MemberState, OwnershipKey, PastMap, Terms};
 pub use self::message::PeerMessage;
 pub use self::ownership::{Adoption, Ownership};
 pub use self::platform::{
--- a/crates/core/src/map.rs
+++ b/crates/core/src/map.rs
@@ -1,4 +1,4 @@
-//! The map object: which instances there are, and who is home of what.
+//! The map object: the instances, and which of them owns what.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
     FailureDomain, GroupId, Grouping, Incarnation, InstanceId, Revision, Tuning, WorkspaceId,
 };
 
-/// One life of one instance.
+/// Identifies one incarnation of an instance.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct MemberRef {
     /// Name of the instance.
     pub id: InstanceId,
-    /// Which of its lives.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -26,37 +26,37 @@
     }
 }
 
-/// How far an instance takes part.
+/// The state of an instance in the map.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// Catching up: named to no caller, home of nothing.
+    /// Loading the catalogue: callers are not sent to it, and it owns nothing.
     Joining,
-    /// Serves callers and is home of its part.
+    /// Serves callers and owns its share of the keys.
     Active,
-    /// Planned stop under way: home of nothing, finishing its callers.
+    /// In a planned stop: owns nothing and finishes its callers' requests.
     Leaving,
 }
 
-/// An instance as the map records it.
+/// An instance's entry in the map.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Member {
     /// Name of the instance.
     pub id: InstanceId,
-    /// Which of its lives.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where it runs.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomain,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub caller_address: SocketAddr,
-    /// Where other instances connect.
+    /// Address that other instances connect to.
     pub peer_address: SocketAddr,
-    /// How far it takes part.
+    /// Its state.
     pub state: MemberState,
 }
 
 impl Member {
-    /// The life of the instance that this entry is about.
+    /// Returns the incarnation of this entry.
     #[must_use]
     pub fn member_ref(&self) -> MemberRef {
         MemberRef {
@@ -66,29 +66,30 @@
     }
 }
 
-/// An earlier revision of the map whose homes might not have noticed its end.
+/// An earlier revision of the map whose owners may not know yet that it was replaced.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct PastMap {
-    /// Its revision.
+    /// The revision.
     pub revision: Revision,
-    /// All its members.
+    /// All members.
     pub members: Vec<MemberRef>,
-    /// Those of them that could be home of something.
+    /// The members that could be owners.
     pub active: Vec<InstanceId>,
 }
 
-/// Settings that all instances have to go by alike; the instance that creates the map fixes them.
+/// Settings that must be the same on all instances; the instance that creates the map sets them.
 ///
-/// Guards against settings that differ while a release is rolled out: instances that group engines
-/// differently would each hold themselves home of the same engine, and one that waits for a former
-/// home by a shorter standing than that home's own would act beside it.
+/// Settings may differ while a release is rolled out. Instances that group engines differently
+/// would each consider themselves the owner of the same engine. An instance that waits for a former
+/// owner with a shorter lease duration than that owner's would act at the same time as it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Terms {
     /// How engines are grouped.
     pub grouping: Grouping,
-    /// How long a proof of standing holds, counted from when its question was sent.
-    pub standing: Duration,
-    /// Bound on how much two clocks drift apart over one `standing`.
+    /// How long a lease is valid, counted from when the request that confirms it was sent.
+    #[serde(rename = "standing")]
+    pub lease_duration: Duration,
+    /// Maximum drift between two clocks over one `lease_duration`.
     pub drift: Duration,
 }
 
@@ -96,7 +97,7 @@
     fn from(cfg: &Tuning) -> Self {
         Self {
             grouping: cfg.grouping,
-            standing: cfg.standing,
+            lease_duration: cfg.standing,
             drift: cfg.drift,
         }
     }
@@ -105,31 +106,31 @@
 /// The map object.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Map {
-    /// Grows by one with each change.
+    /// Increases by one with each change.
     pub revision: Revision,
-    /// What all instances have to go by alike.
+    /// Settings that are the same on all instances.
     pub terms: Terms,
-    /// The instances, in order of their names.
+    /// The instances, sorted by name.
     pub members: Vec<Member>,
     /// Earlier revisions not yet known to be retired everywhere, oldest first.
     pub history: Vec<PastMap>,
 }
 
-/// Something that has exactly one home.
+/// Something that has exactly one owner.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum HomeKey {
-    /// A workspace's shares of its rate, and its journal of calls that may not be repeated.
+pub enum OwnershipKey {
+    /// A workspace: the shares of its rate, and its journal of calls that must not be repeated.
     Workspace(WorkspaceId),
-    /// A group of engines: their queue, permits and orders.
+    /// A group of engines: its queue, permits and orders.
     Group(GroupId),
-    /// The weight store: the permits to load from it.
+    /// The weight store: the permits to load weights from it.
     WeightStore,
-    /// The catalogue's compaction.
+    /// The compaction of the catalogue.
     Catalogue,
 }
 
-impl fmt::Display for HomeKey {
+impl fmt::Display for OwnershipKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Workspace(id) => write!(f, "workspace:{id}"),
@@ -141,7 +142,7 @@
 }
 
 impl Map {
-    /// The map before anyone joined.
+    /// Creates the map without any members.
     #[must_use]
     pub const fn empty(terms: Terms) -> Self {
         Self {
@@ -152,13 +153,13 @@
         }
     }
 
-    /// The entry of an instance.
+    /// Returns the entry of an instance.
     #[must_use]
     pub fn member(&self, id: &InstanceId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == *id)
     }
 
-    /// Names of the instances that can be home of something.
+    /// Returns the names of the active instances, which are the ones that can be owners.
     pub fn active(&self) -> impl Iterator<Item = &InstanceId> {
         self.members
             .iter()
@@ -166,16 +167,16 @@
             .map(|member| &member.id)
     }
 
-    /// All lives that the map or its history lists; one may come more than once.
-    pub fn known_lives(&self) -> impl Iterator<Item = MemberRef> {
+    /// Returns all incarnations that the map or its history lists, possibly with duplicates.
+    pub fn known_member_refs(&self) -> impl Iterator<Item = MemberRef> {
         let current = self.members.iter().map(Member::member_ref);
         let past = self.history.iter().flat_map(|past| past.members.clone());
         current.chain(past)
     }
 
-    /// The home of `key` under this revision; none while no instance is active.
+    /// Returns the owner of `key` under this revision; `None` while no instance is active.
     #[must_use]
-    pub fn home(&self, key: &HomeKey) -> Option<&InstanceId> {
+    pub fn owner(&self, key: &OwnershipKey) -> Option<&InstanceId> {
         rendezvous(key, self.active())
     }
 }
@@ -191,18 +192,18 @@
 }
 
 impl PastMap {
-    /// The home of `key` under this earlier revision.
+    /// Returns the owner of `key` under this earlier revision.
     #[must_use]
-    pub fn home(&self, key: &HomeKey) -> Option<&InstanceId> {
+    pub fn owner(&self, key: &OwnershipKey) -> Option<&InstanceId> {
         rendezvous(key, self.active.iter())
     }
 }
 
-/// Rendezvous hashing: the candidate with the highest hash of key and name.
+/// Selects an owner by rendezvous hashing: the candidate with the highest hash of key and name.
 ///
-/// A change of one candidate moves only that candidate's keys.
+/// When one candidate is added or removed, only the keys of that candidate change owners.
 pub fn rendezvous<'a>(
-    key: &HomeKey,
+    key: &OwnershipKey,
     candidates: impl Iterator<Item = &'a InstanceId>,
 ) -> Option<&'a InstanceId> {
     let seed = xxh3_64(key.to_string().as_bytes());
--- a/crates/core/src/membership/change.rs
+++ b/crates/core/src/membership/change.rs
@@ -1,59 +1,60 @@
-//! Changes of the map that an instance wants.
+//! Map changes that an instance proposes.
 
 use std::collections::BTreeSet;
 
 use crate::{InstanceId, Map, Member, MemberState, PastMap};
 
-/// Most earlier revisions that the map records; a change that needs one more waits.
-const HISTORY_BOUND: usize = 16;
+/// Maximum number of earlier revisions in the map; a change that would add another one waits.
+const MAX_HISTORY_LEN: usize = 16;
 
-/// Newcomers leave this much of the history to leaves and drops, which are more urgent.
-const RESERVED_HISTORY: usize = 4;
+/// History entries that joining instances leave free for leaving and removed instances, which are
+/// more urgent.
+const RESERVED_HISTORY_LEN: usize = 4;
 
-/// A stored history of this length is shortened if that takes half of this away.
-pub(super) const TIDY_HISTORY: usize = 8;
+/// A stored history of this length is compacted if that removes at least half this many entries.
+pub(super) const COMPACTION_HISTORY_LEN: usize = 8;
 
-/// How an instance wants to stand in the map.
+/// The state in the map that an instance aims for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Goal {
-    /// Listed, but home of nothing yet.
+    /// Listed, but not an owner yet.
     Join,
-    /// Home of its part.
+    /// Owner of its share of the keys.
     Serve,
-    /// Home of nothing any more.
+    /// Listed, but no longer an owner.
     Leave,
     /// Not listed.
-    Out,
+    Exit,
 }
 
-/// The map that follows `map` with all that is wanted of it; none while nothing is, or while the
-/// history has no room.
+/// Returns the successor of `map` with all wanted changes; `None` if there is no change, or while
+/// the history is full.
 pub(super) fn propose(
     map: &Map,
-    me: &Member,
+    local: &Member,
     goal: Goal,
-    dropped: &BTreeSet<InstanceId>,
+    removed: &BTreeSet<InstanceId>,
 ) -> Option<Map> {
     let mut members: Vec<_> = map
         .members
         .iter()
-        .filter(|member| !dropped.contains(&member.id))
+        .filter(|member| !removed.contains(&member.id))
         .cloned()
         .collect();
-    place(&mut members, me, goal);
+    apply_goal(&mut members, local, goal);
     members.sort_by(|a, b| a.id.cmp(&b.id));
     if members == map.members {
         return None;
     }
-    let is_newcomer = members.len() > map.members.len();
-    let reserved = if is_newcomer { RESERVED_HISTORY } else { 0 };
-    if map.history.len() + reserved >= HISTORY_BOUND {
+    let is_join = members.len() > map.members.len();
+    let reserved = if is_join { RESERVED_HISTORY_LEN } else { 0 };
+    if map.history.len() + reserved >= MAX_HISTORY_LEN {
         return None;
     }
     Some(successor(map, members))
 }
 
-/// The map that follows `map` with these members.
+/// Returns the next revision of `map` with the given members.
 pub(super) fn successor(map: &Map, members: Vec<Member>) -> Map {
     let mut history = map.history.clone();
     if !map.members.is_empty() {
@@ -67,33 +68,33 @@
     }
 }
 
-fn place(members: &mut Vec<Member>, me: &Member, goal: Goal) {
+fn apply_goal(members: &mut Vec<Member>, local: &Member, goal: Goal) {
     let listed = members
         .iter()
-        .find(|member| member.id == me.id && member.incarnation == me.incarnation)
+        .find(|member| member.id == local.id && member.incarnation == local.incarnation)
         .map(|member| member.state);
     let Some(state) = next_state(listed, goal) else {
         if listed.is_some() {
-            members.retain(|member| member.id != me.id);
+            members.retain(|member| member.id != local.id);
         }
         return;
     };
-    members.retain(|member| member.id != me.id);
+    members.retain(|member| member.id != local.id);
     members.push(Member {
         state,
-        ..me.clone()
+        ..local.clone()
     });
 }
 
-/// The state to take next; none for not being listed.
+/// Returns the next state on the way to `goal`; `None` means not listed.
 const fn next_state(listed: Option<MemberState>, goal: Goal) -> Option<MemberState> {
     match (goal, listed) {
         (Goal::Join, None) => Some(MemberState::Joining),
         (Goal::Join, Some(state)) => Some(state),
         (Goal::Serve, _) => Some(MemberState::Active),
-        (Goal::Leave, Some(_)) | (Goal::Out, Some(MemberState::Joining | MemberState::Active)) => {
+        (Goal::Leave, Some(_)) | (Goal::Exit, Some(MemberState::Joining | MemberState::Active)) => {
             Some(MemberState::Leaving)
         }
-        (Goal::Leave, None) | (Goal::Out, None | Some(MemberState::Leaving)) => None,
+        (Goal::Leave, None) | (Goal::Exit, None | Some(MemberState::Leaving)) => None,
     }
 }
--- a/crates/core/src/membership/heartbeats.rs
+++ b/crates/core/src/membership/heartbeats.rs
@@ -1,45 +1,45 @@
-//! Sending heartbeats and pushing maps.
+//! Sending of heartbeats and maps.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::{Action, InstanceId, Map, Ownership, PeerMessage, Revision, Time};
 
-use super::beat_log::BeatLog;
+use super::heartbeat_log::HeartbeatLog;
 use super::peers::Peers;
 use super::{Heartbeat, MembershipMessage};
 
-/// When to send what to whom.
+/// Schedules heartbeats and limits how often a map is pushed.
 #[derive(Debug, Default)]
 pub(super) struct Heartbeats {
-    log: BeatLog,
+    log: HeartbeatLog,
     next_round: Time,
-    pushed: BTreeMap<InstanceId, Pushed>,
+    pushes: BTreeMap<InstanceId, MapPush>,
 }
 
 #[derive(Debug)]
-struct Pushed {
+struct MapPush {
     map: Revision,
     at: Time,
 }
 
-/// What every heartbeat of a round says.
+/// The state that all heartbeats of a round report.
 #[derive(Debug)]
 pub(super) struct Round<'a> {
-    pub(super) own: &'a Ownership,
+    pub(super) ownership: &'a Ownership,
     pub(super) peers: &'a Peers,
     pub(super) catalogue: Revision,
-    pub(super) silent: Vec<InstanceId>,
+    pub(super) unresponsive: Vec<InstanceId>,
 }
 
 impl Heartbeats {
-    /// When the heartbeat of this sequence was sent.
+    /// Returns when the heartbeat with this sequence number was sent.
     pub(super) fn sent_at(&self, sequence: u64) -> Option<Time> {
         self.log.sent_at(sequence)
     }
 
-    /// Lets the next round be due at once: there is news.
-    pub(super) const fn hurry(&mut self) {
+    /// Makes the next round due at once, because there is a change to report.
+    pub(super) const fn schedule_now(&mut self) {
         self.next_round = Time(0);
     }
 
@@ -57,27 +57,27 @@
     ) {
         self.next_round = now + interval;
         let sequence = self.log.record(now);
-        let me = &round.own.me;
-        for member in &round.own.map.members {
-            if member.id == me.id {
+        let local = &round.ownership.local;
+        for member in &round.ownership.map.members {
+            if member.id == local.id {
                 continue;
             }
-            let echo = round.peers.get(&member.member_ref());
+            let peer = round.peers.get(&member.member_ref());
             let heartbeat = Heartbeat {
-                incarnation: me.incarnation,
+                incarnation: local.incarnation,
                 sequence,
-                map: round.own.revision(),
+                map: round.ownership.revision(),
                 catalogue: round.catalogue,
                 echo_incarnation: member.incarnation,
-                echo: echo.map_or(0, |peer| peer.sequence),
-                retired_below: round.own.retired_below(),
-                silent: round.silent.clone(),
+                echo: peer.map_or(0, |peer| peer.sequence),
+                retired_below: round.ownership.retired_below(),
+                unresponsive: round.unresponsive.clone(),
             };
             send(&member.id, MembershipMessage::Heartbeat(heartbeat), out);
         }
     }
 
-    /// Pushes a map to a peer, at most once an interval.
+    /// Pushes a map to a peer unless the same map was pushed to it less than `interval` ago.
     pub(super) fn push(
         &mut self,
         now: Time,
@@ -86,24 +86,24 @@
         map: &Map,
         out: &mut Vec<Action>,
     ) {
-        let recent = self
-            .pushed
+        let is_recent = self
+            .pushes
             .get(to)
-            .is_some_and(|pushed| pushed.map == map.revision && now < pushed.at + interval);
-        if recent {
+            .is_some_and(|push| push.map == map.revision && now < push.at + interval);
+        if is_recent {
             return;
         }
-        let pushed = Pushed {
+        let push = MapPush {
             map: map.revision,
             at: now,
         };
-        self.pushed.insert(to.clone(), pushed);
+        self.pushes.insert(to.clone(), push);
         send(to, MembershipMessage::Push(Box::new(map.clone())), out);
     }
 
-    /// Forgets pushes of long ago.
-    pub(super) fn forget_pushes(&mut self, now: Time, interval: Duration) {
-        self.pushed.retain(|_, pushed| now < pushed.at + interval);
+    /// Removes the records of pushes that are older than `interval`.
+    pub(super) fn prune_pushes(&mut self, now: Time, interval: Duration) {
+        self.pushes.retain(|_, push| now < push.at + interval);
     }
 }
 
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -1,35 +1,35 @@
-//! Heartbeats and maps between instances.
+//! Messages of the membership protocol between instances.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Incarnation, InstanceId, Map, Revision};
 
-/// What membership says to a peer.
+/// A membership message to a peer.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum MembershipMessage {
-    /// A heartbeat; it doubles as the answer to the peer's own.
+    /// A heartbeat, which also acknowledges the peer's latest heartbeat.
     Heartbeat(Heartbeat),
-    /// A map, pushed to a peer that knows only an older one.
+    /// A map, pushed to a peer that has an older one.
     Push(Box<Map>),
 }
 
 /// A heartbeat.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Heartbeat {
-    /// The sender's life.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Rises with each heartbeat of this life.
+    /// Increases with each heartbeat of this incarnation.
     pub sequence: u64,
     /// The newest map that the sender has adopted.
     pub map: Revision,
-    /// The newest catalogue revision that the sender has in force.
+    /// The newest catalogue revision in force at the sender.
     pub catalogue: Revision,
-    /// The receiver's life that `echo` is about.
+    /// The receiver's incarnation that `echo` refers to.
     pub echo_incarnation: Incarnation,
-    /// The newest sequence received from the receiver; zero for none.
+    /// The newest sequence number received from the receiver; zero for none.
     pub echo: u64,
-    /// No earlier map than this one gives standing to anyone any more.
+    /// Maps before this revision no longer give any instance a lease.
     pub retired_below: Revision,
-    /// Members of the sender's map that are silent to it; nearly always empty.
-    pub silent: Vec<InstanceId>,
+    /// Members of the sender's map that the sender finds unresponsive; nearly always empty.
+    pub unresponsive: Vec<InstanceId>,
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,21 +1,21 @@
-//! Membership: the map, standing and activation.
+//! Membership: the map, the lease and the activation of owned keys.
 //!
-//! docs/design/ownership.md argues why two homes of one key never act at once.
+//! docs/design/ownership.md explains why two owners of one key never act at the same time.
 
-mod beat_log;
-mod calls;
+mod call_pacer;
 mod change;
 mod core;
+mod failure_detector;
+mod heartbeat_log;
 mod heartbeats;
+mod lifecycle;
+mod map_store;
 mod message;
 mod peers;
-mod place;
 mod presence;
 mod quorum;
 mod rejoin;
 mod retirement;
-mod silence;
-mod store;
 
 pub use self::core::Membership;
 pub use self::message::{Heartbeat, MembershipMessage};
--- a/crates/core/src/membership/peers.rs
+++ b/crates/core/src/membership/peers.rs
@@ -1,4 +1,4 @@
-//! What other lives have told.
+//! State that other instances have reported.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,111 +6,117 @@
 
 use super::Heartbeat;
 
-/// What one life of a peer has told.
+/// The reported state of one incarnation of a peer.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
-    /// When it was last heard, or first known of.
-    pub(super) heard_at: Time,
-    /// Its newest heartbeat's sequence; zero for none.
+    /// When the peer's newest heartbeat was received, or when the peer was first listed.
+    pub(super) last_seen: Time,
+    /// Sequence number of the newest heartbeat; zero for none.
     pub(super) sequence: u64,
-    /// The newest map that it has adopted.
+    /// The newest map that the peer has adopted.
     pub(super) adopted: Revision,
-    /// The newest catalogue revision that it has in force.
+    /// The newest catalogue revision in force at the peer.
     pub(super) catalogue: Revision,
-    /// Its latest answer to a heartbeat from here.
-    pub(super) told: Option<Told>,
-    /// Members that are silent to it.
-    pub(super) silent: Vec<InstanceId>,
+    /// The peer's latest reply to a heartbeat of this instance.
+    pub(super) latest_reply: Option<HeartbeatReply>,
+    /// Members that the peer finds unresponsive.
+    pub(super) unresponsive: Vec<InstanceId>,
 }
 
-/// A peer's answer to a heartbeat.
+/// The state in a peer's reply to a heartbeat.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Told {
-    /// When the heartbeat that it echoes was sent: what it told was so at or after this time.
+pub(super) struct HeartbeatReply {
+    /// When the echoed heartbeat was sent: the reported state was true at or after this time.
     ///
-    /// Counting from the answer's arrival instead would let an answer that was held up on its way
-    /// prove something about now, and a former home act beside its successor.
-    pub(super) asked: Time,
-    /// The newest map that it had adopted.
+    /// With the reply's arrival time instead, a delayed reply would confirm state as current that
+    /// is no longer true, and a former owner could act at the same time as its successor.
+    pub(super) heartbeat_sent_at: Time,
+    /// The newest map that the peer had adopted.
     pub(super) map: Revision,
-    /// The catalogue revision that it had in force, or that it was unsure.
+    /// The catalogue revision in force at the peer, or [`Revision::UNSURE`].
     pub(super) catalogue: Revision,
 }
 
 impl Peer {
     const fn first_known(now: Time) -> Self {
         Self {
-            heard_at: now,
+            last_seen: now,
             sequence: 0,
             adopted: Revision(0),
             catalogue: Revision(0),
-            told: None,
-            silent: Vec::new(),
+            latest_reply: None,
+            unresponsive: Vec::new(),
         }
     }
 }
 
-/// All lives that the map or its history lists, this one excepted.
+/// All incarnations that the map or its history lists, except the local one.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
-    lives: BTreeMap<MemberRef, Peer>,
+    by_ref: BTreeMap<MemberRef, Peer>,
 }
 
 impl Peers {
-    pub(super) fn get(&self, life: &MemberRef) -> Option<&Peer> {
-        self.lives.get(life)
+    pub(super) fn get(&self, peer_ref: &MemberRef) -> Option<&Peer> {
+        self.by_ref.get(peer_ref)
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = (&MemberRef, &Peer)> {
-        self.lives.iter()
+        self.by_ref.iter()
     }
 
-    /// Keeps what was told by `lives`, forgets the rest and starts to wait for new ones.
-    pub(super) fn track(&mut self, now: Time, lives: impl Iterator<Item = MemberRef>) {
-        let lives: BTreeSet<_> = lives.collect();
-        self.lives.retain(|life, _| lives.contains(life));
-        for life in lives {
-            self.lives.entry(life).or_insert(Peer::first_known(now));
+    /// Starts tracking the new ones of `peer_refs` and forgets all peers that are not among them.
+    pub(super) fn track(&mut self, now: Time, peer_refs: impl Iterator<Item = MemberRef>) {
+        let peer_refs: BTreeSet<_> = peer_refs.collect();
+        self.by_ref
+            .retain(|peer_ref, _| peer_refs.contains(peer_ref));
+        for peer_ref in peer_refs {
+            self.by_ref
+                .entry(peer_ref)
+                .or_insert(Peer::first_known(now));
         }
     }
 
-    /// Takes a heartbeat; `asked` is when the heartbeat that it echoes was sent.
+    /// Records a heartbeat; `echoed_sent_at` is when the heartbeat that it echoes was sent.
     ///
-    /// Maps and catalogues only grow within a life, so late and doubled heartbeats do no harm.
-    pub(super) fn hear(
+    /// Late and duplicated heartbeats are harmless because the map and catalogue revisions of an
+    /// incarnation only increase.
+    pub(super) fn record_heartbeat(
         &mut self,
         now: Time,
-        life: &MemberRef,
+        peer_ref: &MemberRef,
         heartbeat: Heartbeat,
-        asked: Option<Time>,
+        echoed_sent_at: Option<Time>,
     ) {
-        let Some(peer) = self.lives.get_mut(life) else {
+        let Some(peer) = self.by_ref.get_mut(peer_ref) else {
             return;
         };
         peer.adopted = peer.adopted.max(heartbeat.map);
         if heartbeat.catalogue != Revision::UNSURE {
             peer.catalogue = peer.catalogue.max(heartbeat.catalogue);
         }
-        if let Some(asked) = asked
-            && peer.told.is_none_or(|told| told.asked < asked)
+        if let Some(heartbeat_sent_at) = echoed_sent_at
+            && peer
+                .latest_reply
+                .is_none_or(|reply| reply.heartbeat_sent_at < heartbeat_sent_at)
         {
-            peer.told = Some(Told {
-                asked,
+            peer.latest_reply = Some(HeartbeatReply {
+                heartbeat_sent_at,
                 map: heartbeat.map,
                 catalogue: heartbeat.catalogue,
             });
         }
         if heartbeat.sequence > peer.sequence {
             peer.sequence = heartbeat.sequence;
-            peer.heard_at = now;
-            peer.silent = heartbeat.silent;
+            peer.last_seen = now;
+            peer.unresponsive = heartbeat.unresponsive;
         }
     }
 
-    /// Counts silence from now on, as if every peer had just been heard.
-    pub(super) fn forgive(&mut self, now: Time) {
-        for peer in self.lives.values_mut() {
-            peer.heard_at = now;
+    /// Restarts the failure timeouts, as if every peer had just sent a heartbeat.
+    pub(super) fn reset_last_seen(&mut self, now: Time) {
+        for peer in self.by_ref.values_mut() {
+            peer.last_seen = now;
         }
     }
 }
--- a/crates/core/src/membership/presence.rs
+++ b/crates/core/src/membership/presence.rs
@@ -1,24 +1,26 @@
-//! Which lives the platform's list shows gone.
+//! Incarnations that are gone according to the platform's instance list.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::{ListedInstance, Map, MemberRef, Time};
 
-/// A life in the map that the list never shows for this long is gone: the list lags by less.
-const LIST_LAG_BOUND: Duration = Duration::from_secs(10);
+/// The instance list lags by less than this. An incarnation in the map that was never listed for
+/// this long is gone.
+const MAX_LIST_LAG: Duration = Duration::from_secs(10);
 
-/// Lives that the platform's lagging list shows gone; gone is permanent.
+/// Incarnations that are gone according to the platform's lagging list. Being gone is permanent.
 ///
-/// A life is gone when the list once showed it and no longer does, when the list shows its
-/// successor under the same name, or when it has been missing for longer than the list can lag. A
-/// life that the list does not show *yet* is not gone: counting it out would let a newcomer's
-/// majority and the others' miss each other.
+/// An unresponsive incarnation is gone when the list showed it earlier and no longer does, when the
+/// list shows its successor under the same name, or when it has been missing for longer than the
+/// list can lag. An incarnation that the list does not show *yet* is not gone: if it were left out
+/// of the count, the majority of a joining instance and the majority of the others might not
+/// overlap.
 ///
-/// What this gives up: when half of the instances or more vanish at once, their work goes on only
-/// after the list has shown them gone; and when the platform goes away in between, the rest loses
-/// standing until it is back, because two of three that fell silent can't be told from two that
-/// carry on behind a cut.
+/// The price: when half of the instances or more vanish at once, their work continues only after
+/// the list has shown that they are gone. If the platform becomes unavailable in between, the
+/// remaining instances lose their lease until it is back, because two of three instances that are
+/// unresponsive can't be told from two that carry on behind a network partition.
 #[derive(Debug, Default)]
 pub(super) struct Presence {
     shown: BTreeSet<MemberRef>,
@@ -31,41 +33,44 @@
         &self.gone
     }
 
-    /// Takes a list that was asked for at `asked`; `silent` tells who is not heard any more.
+    /// Processes a list that was requested at `requested_at`.
     pub(super) fn observe(
         &mut self,
-        asked: Time,
+        requested_at: Time,
         list: &[ListedInstance],
         map: &Map,
-        silent: impl Fn(&MemberRef) -> bool,
+        is_unresponsive: impl Fn(&MemberRef) -> bool,
     ) {
-        let listed: BTreeSet<_> = list.iter().map(life_of).collect();
-        let known: BTreeSet<_> = map.known_lives().collect();
+        let listed: BTreeSet<_> = list.iter().map(member_ref).collect();
+        let known: BTreeSet<_> = map.known_member_refs().collect();
         self.missing_since
-            .retain(|life, _| known.contains(life) && !listed.contains(life));
-        for life in known.difference(&listed) {
-            let since = *self.missing_since.entry(life.clone()).or_insert(asked);
-            let was_shown = self.shown.contains(life);
-            let too_long = asked.since(since) >= LIST_LAG_BOUND;
-            let replaced = successor(map, life).is_some_and(|next| listed.contains(&next));
-            if silent(life) && (was_shown || too_long || replaced) {
-                self.gone.insert(life.clone());
+            .retain(|member, _| known.contains(member) && !listed.contains(member));
+        for member in known.difference(&listed) {
+            let since = *self
+                .missing_since
+                .entry(member.clone())
+                .or_insert(requested_at);
+            let was_shown = self.shown.contains(member);
+            let is_overdue = requested_at.since(since) >= MAX_LIST_LAG;
+            let is_replaced = successor(map, member).is_some_and(|next| listed.contains(&next));
+            if is_unresponsive(member) && (was_shown || is_overdue || is_replaced) {
+                self.gone.insert(member.clone());
             }
         }
-        self.gone.retain(|life| known.contains(life));
+        self.gone.retain(|member| known.contains(member));
         self.shown.extend(listed);
-        self.shown.retain(|life| known.contains(life));
+        self.shown.retain(|member| known.contains(member));
     }
 }
 
-fn life_of(listed: &ListedInstance) -> MemberRef {
+fn member_ref(listed: &ListedInstance) -> MemberRef {
     MemberRef {
         id: listed.id.clone(),
         incarnation: listed.incarnation,
     }
 }
 
-fn successor(map: &Map, life: &MemberRef) -> Option<MemberRef> {
-    let next = map.member(&life.id)?.member_ref();
-    (next != *life).then_some(next)
+fn successor(map: &Map, member: &MemberRef) -> Option<MemberRef> {
+    let next = map.member(&member.id)?.member_ref();
+    (next != *member).then_some(next)
 }
--- a/crates/core/src/membership/quorum.rs
+++ b/crates/core/src/membership/quorum.rs
@@ -1,84 +1,90 @@
-//! Majorities of the map's lives.
+//! Majorities of the map's members.
 
 use crate::{Map, MemberRef, Revision, Time};
 
 use super::peers::Peers;
 
-/// What a majority of instances say of the catalogue.
+/// The catalogue state that a majority of the instances reported.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CatalogueQuorum {
-    /// Every one of them said so after this time.
-    pub asked: Time,
-    /// The highest revision among them.
+    /// Every member of the majority reported its revision at or after this time.
+    pub confirmed_at: Time,
+    /// The highest revision that any instance reported.
     pub highest: Revision,
-    /// The highest revision that a majority is known to have in force.
-    pub held: Revision,
+    /// The highest revision that is known to be in force on a majority.
+    pub majority_revision: Revision,
 }
 
-/// Whether `votes` of `count` are more than half.
+/// Whether `votes` are more than half of `count`.
 pub(super) const fn is_majority(votes: usize, count: usize) -> bool {
     votes * 2 > count
 }
 
-/// The latest time at or after which a majority of the map's lives, `me` among them, knew no newer
-/// map; none while no majority has told so.
+/// Returns the latest time at or after which a majority of the map's members, including `local`,
+/// knew no newer map; `None` while no majority has reported that.
 pub(super) fn map_confirmed_at(
     now: Time,
     map: &Map,
-    me: &MemberRef,
+    local: &MemberRef,
     peers: &Peers,
 ) -> Option<Time> {
-    let told = |life: &MemberRef| {
-        if life == me {
+    let confirmed_at = |member: &MemberRef| {
+        if member == local {
             return Some(now);
         }
-        let told = peers.get(life)?.told?;
-        (told.map <= map.revision).then_some(told.asked)
+        let reply = peers.get(member)?.latest_reply?;
+        (reply.map <= map.revision).then_some(reply.heartbeat_sent_at)
     };
-    majority_time(map, told)
+    majority_time(map, confirmed_at)
 }
 
-/// What a majority of the map's lives, `me` among them, says of the catalogue.
+/// Returns the catalogue state that a majority of the map's members, including `local`, reported;
+/// `None` while no majority has.
 ///
-/// A life that is unsure of its revision counts as one that has not answered.
+/// A member that is unsure of its revision counts as one that has not replied.
 pub(super) fn catalogue(
     now: Time,
     map: &Map,
-    me: &MemberRef,
-    mine: Revision,
+    local: &MemberRef,
+    local_revision: Revision,
     peers: &Peers,
 ) -> Option<CatalogueQuorum> {
-    let told = |life: &MemberRef| {
-        if life == me {
-            return (mine != Revision::UNSURE).then_some(now);
+    let reported_at = |member: &MemberRef| {
+        if member == local {
+            return (local_revision != Revision::UNSURE).then_some(now);
         }
-        let told = peers.get(life)?.told?;
-        (told.catalogue != Revision::UNSURE).then_some(told.asked)
+        let reply = peers.get(member)?.latest_reply?;
+        (reply.catalogue != Revision::UNSURE).then_some(reply.heartbeat_sent_at)
     };
-    let asked = majority_time(map, told)?;
-    let highest = lives(map)
-        .filter_map(|life| peers.get(&life).map(|peer| peer.catalogue))
-        .fold(mine, Revision::max);
-    let held = catalogue_held(map, me, mine, peers);
+    let confirmed_at = majority_time(map, reported_at)?;
+    let highest = member_refs(map)
+        .filter_map(|member| peers.get(&member).map(|peer| peer.catalogue))
+        .fold(local_revision, Revision::max);
+    let majority_revision = majority_catalogue(map, local, local_revision, peers);
     Some(CatalogueQuorum {
-        asked,
+        confirmed_at,
         highest,
-        held,
+        majority_revision,
     })
 }
 
-/// The highest catalogue revision that a majority of the map's lives, `me` among them, is known to
-/// have in force.
-pub(super) fn catalogue_held(map: &Map, me: &MemberRef, mine: Revision, peers: &Peers) -> Revision {
-    let held = |life: MemberRef| match mine {
-        Revision::UNSURE if life == *me => Revision::default(),
-        mine if life == *me => mine,
+/// Returns the highest catalogue revision that is known to be in force on a majority of the map's
+/// members, including `local`.
+pub(super) fn majority_catalogue(
+    map: &Map,
+    local: &MemberRef,
+    local_revision: Revision,
+    peers: &Peers,
+) -> Revision {
+    let in_force = |member: MemberRef| match local_revision {
+        Revision::UNSURE if member == *local => Revision::default(),
+        local_revision if member == *local => local_revision,
         _ => peers
-            .get(&life)
+            .get(&member)
             .map(|peer| peer.catalogue)
             .unwrap_or_default(),
     };
-    let mut revisions: Vec<_> = lives(map).map(held).collect();
+    let mut revisions: Vec<_> = member_refs(map).map(in_force).collect();
     revisions.sort_unstable_by(|a, b| b.cmp(a));
     revisions
         .get(map.members.len() / 2)
@@ -86,12 +92,14 @@
         .unwrap_or_default()
 }
 
-fn lives(map: &Map) -> impl Iterator<Item = MemberRef> {
+fn member_refs(map: &Map) -> impl Iterator<Item = MemberRef> {
     map.members.iter().map(crate::Member::member_ref)
 }
 
-fn majority_time(map: &Map, told: impl Fn(&MemberRef) -> Option<Time>) -> Option<Time> {
-    let mut times: Vec<_> = lives(map).filter_map(|life| told(&life)).collect();
+fn majority_time(map: &Map, time_of: impl Fn(&MemberRef) -> Option<Time>) -> Option<Time> {
+    let mut times: Vec<_> = member_refs(map)
+        .filter_map(|member| time_of(&member))
+        .collect();
     times.sort_unstable_by(|a, b| b.cmp(a));
     times.get(map.members.len() / 2).copied()
 }
--- a/crates/core/src/membership/rejoin.rs
+++ b/crates/core/src/membership/rejoin.rs
@@ -1,45 +1,48 @@
-//! Coming back after having been dropped.
+//! Backoff before rejoining after a removal.
 
 use std::time::Duration;
 
 use crate::Time;
 
-/// First pause before an instance that was dropped again takes its place again; doubles each time.
-const FIRST_PAUSE: Duration = Duration::from_secs(2);
+/// Delay before an instance rejoins after its second removal; doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Longest pause; also how long a place must last for the next drop to count as the first.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+/// Maximum delay before rejoining. A removal counts as the first again when the previous one was
+/// twice this long ago.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Guards against an instance that its peers don't hear, but that reaches the platform: it would
-/// come back after each drop, and its keys would move to and fro every other second.
+/// Delays rejoining after repeated removals.
+///
+/// An instance that reaches the platform but whose peers don't receive its heartbeats would
+/// otherwise rejoin after each removal, and its keys would change owners every other second.
 #[derive(Debug)]
-pub(super) struct Rejoin {
-    dropped_at: Option<Time>,
+pub(super) struct RejoinBackoff {
+    removed_at: Option<Time>,
     not_before: Time,
-    pause: Duration,
+    backoff: Duration,
 }
 
-impl Rejoin {
+impl RejoinBackoff {
     pub(super) const fn new() -> Self {
         Self {
-            dropped_at: None,
+            removed_at: None,
             not_before: Time(0),
-            pause: FIRST_PAUSE,
+            backoff: INITIAL_BACKOFF,
         }
     }
 
-    /// Takes note that the map no longer lists this life.
-    pub(super) fn note_drop(&mut self, now: Time) {
-        let again = self
-            .dropped_at
-            .is_some_and(|at| now.since(at) < LONGEST_PAUSE * 2);
-        if again {
-            self.not_before = now + self.pause;
-            self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+    /// Records that the map no longer lists this incarnation.
+    pub(super) fn record_removal(&mut self, now: Time) {
+        let is_repeated = self
+            .removed_at
+            .is_some_and(|at| now.since(at) < MAX_BACKOFF * 2);
+        if is_repeated {
+            self.not_before = now + self.backoff;
+            self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         } else {
-            self.pause = FIRST_PAUSE;
+            self.backoff = INITIAL_BACKOFF;
         }
-        self.dropped_at = Some(now);
+        self.removed_at = Some(now);
     }
 
     pub(super) fn may_join(&self, now: Time) -> bool {
--- a/crates/core/src/rates/core.rs
+++ b/crates/core/src/rates/core.rs
@@ -81,7 +81,7 @@
         if charge > limits.burst {
             return RateStep::Refused(Refusal::not_run(RefusalKind::NeverAdmissible));
         }
-        if !cx.own.has_standing(cx.now) {
+        if !cx.own.has_lease(cx.now) {
             return RateStep::Refused(Refusal::not_run(RefusalKind::NoStanding));
         }
         self.limit(cx, workspace, Some(limits));
@@ -286,7 +286,7 @@
     }
 
     fn hand_back_all(&mut self, cx: &mut Cx<'_>) {
-        if self.policy != RatePolicy::Shares || !cx.own.has_standing(cx.now) {
+        if self.policy != RatePolicy::Shares || !cx.own.has_lease(cx.now) {
             return;
         }
         for entry in self.workspaces.values_mut() {
--- a/crates/core/src/rates/tenure.rs
+++ b/crates/core/src/rates/tenure.rs
@@ -47,7 +47,7 @@
             .map
             .members
             .iter()
-            .filter(|member| member.id != own.me.id);
+            .filter(|member| member.id != own.local.id);
         others.clone().count() <= self.reported.len()
             && others
                 .into_iter()
@@ -69,7 +69,7 @@
         if !self.was_member_throughout(cx.own) {
             self.let_go();
         }
-        let peers = cx.own.map.active().filter(|id| **id != cx.own.me.id);
+        let peers = cx.own.map.active().filter(|id| **id != cx.own.local.id);
         let had_home = self.may_have_had_home(cx.own);
         self.tenure = Tenure {
             had_home,
@@ -199,7 +199,7 @@
                 .history
                 .iter()
                 .find(|past| past.revision == revision);
-            past.is_some_and(|past| past.members.contains(&own.me))
+            past.is_some_and(|past| past.members.contains(&own.local))
         };
         own.is_member() && (last + 1..own.revision().0).all(|number| listed(Revision(number)))
     }
@@ -258,7 +258,7 @@
 // map, so it holds the limits less strictly than lent shares do.
 fn hold_even_part(cx: &Cx<'_>, entry: &mut Workspace, had_home: bool) {
     let active = cx.own.map.active().count() as u128;
-    let is_active = cx.own.map.active().any(|id| *id == cx.own.me.id) && cx.own.is_member();
+    let is_active = cx.own.map.active().any(|id| *id == cx.own.local.id) && cx.own.is_member();
     let part = if is_active {
         Share::part(1, active)
     } else {
@@ -297,6 +297,6 @@
 /// Whether this instance is on its way out.
 pub fn is_leaving(own: &Ownership) -> bool {
     own.map
-        .member(&own.me.id)
+        .member(&own.local.id)
         .is_some_and(|me| me.state == MemberState::Leaving)
 }
--- a/crates/core/src/rates/workspace.rs
+++ b/crates/core/src/rates/workspace.rs
@@ -3,7 +3,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::{Cx, HomeKey, InstanceId, Refusal, RefusalKind, RequestId, Time, Tokens, WorkspaceId};
+use crate::{
+    Cx, InstanceId, OwnershipKey, Refusal, RefusalKind, RequestId, Time, Tokens, WorkspaceId,
+};
 
 use super::bucket::Bucket;
 use super::channel::Channel;
@@ -91,13 +93,13 @@
     }
 
     /// The key of its home.
-    pub fn key(&self) -> HomeKey {
-        HomeKey::Workspace(self.id.clone())
+    pub fn key(&self) -> OwnershipKey {
+        OwnershipKey::Workspace(self.id.clone())
     }
 
     /// Whether this instance may act as its home right now.
     pub fn acts(&self, cx: &Cx<'_>) -> bool {
-        self.lending.is_some() && cx.own.acts(cx.now, &self.key())
+        self.lending.is_some() && cx.own.may_act(cx.now, &self.key())
     }
 
     /// Whether anything is to be done as time passes.
@@ -111,13 +113,13 @@
 
     /// Starts over under a new map revision: transfers under way are of no account any more.
     pub fn rebase(&mut self, cx: &Cx<'_>) {
-        self.home = cx.own.home(&self.key()).cloned();
+        self.home = cx.own.owner(&self.key()).cloned();
         self.channel = Channel::default();
         self.ask_due = cx.now;
         self.dry_until = cx.now;
         self.is_unspent = false;
         self.is_settled = false;
-        let is_home = self.home.as_ref() == Some(&cx.own.me.id);
+        let is_home = self.home.as_ref() == Some(&cx.own.local.id);
         self.lending = is_home.then(Box::default);
     }
 
@@ -215,13 +217,13 @@
         }
         // Without standing the share may be lent to others already: spending it would show as a
         // rate exceeded. Standing is asked here, right before the charge.
-        if cx.own.has_standing(cx.now) && self.bucket.take(cx.now, head.charge) {
+        if cx.own.has_lease(cx.now) && self.bucket.take(cx.now, head.charge) {
             return Some(Ok(()));
         }
         if cx.now < head.since + self.patience(cx.now, patience) {
             return None;
         }
-        if !cx.own.has_standing(cx.now) {
+        if !cx.own.has_lease(cx.now) {
             return Some(Err(Refusal::not_run(RefusalKind::NoStanding)));
         }
         Some(Err(self.refusal(cx.now, head.charge)))
--- a/crates/core/src/services/core.rs
+++ b/crates/core/src/services/core.rs
@@ -237,7 +237,7 @@
 fn pick<'a>(cx: &Cx<'_>, replicas: &'a mut [Replica]) -> Option<&'a mut Replica> {
     let parts: u32 = replicas
         .iter()
-        .map(|replica| replica.part(&cx.own.map, &cx.own.me))
+        .map(|replica| replica.part(&cx.own.map, &cx.own.local))
         .sum();
     // With more instances than places, some instances' parts are all zero; one call at a time is
     // let through, or their callers would never be served.
@@ -246,7 +246,7 @@
         .iter_mut()
         .filter(|replica| replica.is_open(cx.now))
         .filter_map(|replica| {
-            let part = replica.part(&cx.own.map, &cx.own.me).max(least);
+            let part = replica.part(&cx.own.map, &cx.own.local).max(least);
             let room = part
                 .checked_sub(replica.in_flight)
                 .filter(|room| *room > 0)?;
--- a/crates/core/tests/engines_guards.rs
+++ b/crates/core/tests/engines_guards.rs
@@ -110,7 +110,7 @@
     let mut lone = Lone::home(&CHECKS);
     lone.remember_map();
     lone.own.past_retired_at = Some(lone.now + Duration::from_secs(2));
-    lone.own.map.history[0].active = vec![lone.own.me.id.clone()];
+    lone.own.map.history[0].active = vec![lone.own.local.id.clone()];
     lone.pass(50);
     lone.answer(&both());
     lone.holding("b", Vec::new());
@@ -173,7 +173,7 @@
 #[test]
 fn a_home_without_standing_does_nothing() {
     let mut lone = running(&CHECKS);
-    lone.own.standing_until = lone.now;
+    lone.own.lease_expires_at = lone.now;
     lone.orders.clear();
     lone.asked("b", 1, ask(1));
     lone.asked("b", 2, ask(3));
@@ -255,12 +255,12 @@
 fn a_permit_is_sent_only_while_standing_holds() {
     let mut lone = Lone::entry(&CHECKS);
     lone.step(|core, cx| core.ask(cx, ask(1)));
-    lone.own.standing_until = lone.now + Duration::from_millis(300);
+    lone.own.lease_expires_at = lone.now + Duration::from_millis(300);
     lone.hear("b", grant(0, permit(5, 1)));
     let outcome = lone.decisions.remove(0).outcome;
-    assert_eq!(outcome.unwrap().send_before, lone.own.standing_until);
+    assert_eq!(outcome.unwrap().send_before, lone.own.lease_expires_at);
     lone.step(|core, cx| core.ask(cx, ask(1)));
-    lone.own.standing_until = lone.now;
+    lone.own.lease_expires_at = lone.now;
     lone.hear("b", grant(1, permit(5, 2)));
     assert!(lone.decisions.is_empty());
     assert_eq!(lone.ended(permit(5, 2)), 1);
@@ -361,7 +361,10 @@
         let mut lone = Lone::entry(&CHECKS);
         let members = &mut lone.own.map.members;
         members[0].state = bluebellstage_core::MemberState::Active;
-        while lone.own.home(&bluebellstage_core::HomeKey::WeightStore) == Some(&lone.own.me.id)
+        while lone
+            .own
+            .owner(&bluebellstage_core::OwnershipKey::WeightStore)
+            == Some(&lone.own.local.id)
             || !lone.acts()
         {
             rename_second(&mut lone);
--- a/crates/core/tests/instances/fleet/oracle.rs
+++ b/crates/core/tests/instances/fleet/oracle.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bluebellstage_core::{
-    CallerWork, HomeKey, IdempotencyKey, Ran, RequestId, ServiceCall, WorkspaceId,
+    CallerWork, IdempotencyKey, OwnershipKey, Ran, RequestId, ServiceCall, WorkspaceId,
 };
 
 use super::Fleet;
@@ -13,10 +13,10 @@
     /// At no time do two instances act as home of one thing.
     pub(super) fn check_homes(&self) {
         let keys = [
-            HomeKey::WeightStore,
-            HomeKey::Catalogue,
-            HomeKey::Workspace(WorkspaceId::try_from("north").unwrap()),
-            HomeKey::Workspace(WorkspaceId::try_from("south").unwrap()),
+            OwnershipKey::WeightStore,
+            OwnershipKey::Catalogue,
+            OwnershipKey::Workspace(WorkspaceId::try_from("north").unwrap()),
+            OwnershipKey::Workspace(WorkspaceId::try_from("south").unwrap()),
         ];
         for key in &keys {
             let acting: Vec<_> = self
@@ -25,7 +25,8 @@
                 .filter(|node| node.is_running())
                 .filter(|node| {
                     let instance = node.instance.as_ref();
-                    instance.is_some_and(|instance| instance.own().acts(node.clock(self.now), key))
+                    instance
+                        .is_some_and(|instance| instance.own().may_act(node.clock(self.now), key))
                 })
                 .map(|node| node.id.to_string())
                 .collect();
--- a/crates/core/tests/membership_fuzz.rs
+++ b/crates/core/tests/membership_fuzz.rs
@@ -175,15 +175,14 @@
 }
 
 /// The home under the newest map that an instance knows acts.
-const MAP_ONLY: Rule = |own, _now, _leased_until, key| own.is_member() && own.is_home(key);
+const MAP_ONLY: Rule = |own, _now, _leased_until, key| own.is_member() && own.is_owner(key);
 
 /// That, while a read of the map was answered within T: a lease in the platform.
 const LEASE: Rule =
     |own, now, leased_until, key| MAP_ONLY(own, now, now, key) && now < leased_until;
 
 /// That, with our standing, but without waiting for the former home.
-const STANDING_ONLY: Rule =
-    |own, now, _leased_until, key| own.has_standing(now) && own.is_home(key);
+const STANDING_ONLY: Rule = |own, now, _leased_until, key| own.has_lease(now) && own.is_owner(key);
 
 /// The fuzz must be able to see what it looks for.
 #[test]
@@ -219,7 +218,7 @@
 fn homes_by_the_platform(world: &World) -> Vec<Vec<InstanceId>> {
     let stored = world.platform.object.as_ref().expect("a map is stored");
     let map: Map = serde_json::from_str(&stored.value).expect("the map parses");
-    let homes = world.keys.iter().map(|key| map.home(key).cloned());
+    let homes = world.keys.iter().map(|key| map.owner(key).cloned());
     homes.map(|home| home.into_iter().collect()).collect()
 }
 
--- a/crates/core/tests/membership_proofs.rs
+++ b/crates/core/tests/membership_proofs.rs
@@ -20,7 +20,7 @@
     let asked = bench.now;
     bench.pass(300);
     bench.hear("b", beat(5, 1));
-    assert_eq!(bench.own().standing_until, asked + STANDING);
+    assert_eq!(bench.own().lease_expires_at, asked + STANDING);
 }
 
 /// An instance restarts, and an answer to a heartbeat of its former life comes late: it says what
@@ -31,14 +31,14 @@
     let mut late = beat(5, 1);
     late.echo_incarnation = Incarnation(77);
     bench.hear("b", late);
-    assert!(!bench.own().has_standing(bench.now));
+    assert!(!bench.own().has_lease(bench.now));
 }
 
 #[test]
 fn a_peer_that_knows_a_newer_map_confirms_nothing() {
     let mut bench = Bench::adopted(map(5, &["a", "b", "c"]));
     bench.hear("b", beat(6, 1));
-    assert!(!bench.own().has_standing(bench.now));
+    assert!(!bench.own().has_lease(bench.now));
 }
 
 #[test]
@@ -47,19 +47,22 @@
     let mut other = beat(5, 1);
     other.incarnation = Incarnation(77);
     bench.hear("b", other);
-    assert!(!bench.own().has_standing(bench.now));
+    assert!(!bench.own().has_lease(bench.now));
 }
 
 #[test]
 fn half_of_an_even_number_of_lives_is_no_majority() {
     let mut bench = Bench::adopted(map(5, &["a", "b", "c", "d"]));
     bench.hear("b", beat(5, 1));
-    assert!(!bench.own().has_standing(bench.now));
+    assert!(!bench.own().has_lease(bench.now));
     assert_eq!(bench.membership.majority_catalogue(), None);
     bench.hear("c", beat(5, 1));
-    assert!(bench.own().has_standing(bench.now));
+    assert!(bench.own().has_lease(bench.now));
     let quorum = bench.membership.majority_catalogue();
-    assert_eq!(quorum.map(|quorum| quorum.held), Some(Revision(1)));
+    assert_eq!(
+        quorum.map(|quorum| quorum.majority_revision),
+        Some(Revision(1))
+    );
 }
 
 /// A read is answered long after it was sent, because the process was frozen meanwhile.
@@ -69,7 +72,7 @@
     let asked = bench.now;
     bench.pass(1_500);
     bench.read(asked, &map(5, &["a", "b", "c"]));
-    assert_eq!(bench.own().standing_until, asked + STANDING);
+    assert_eq!(bench.own().lease_expires_at, asked + STANDING);
 }
 
 #[test]
@@ -79,7 +82,7 @@
     let asked = bench.now;
     bench.pass(700);
     bench.written(asked);
-    assert_eq!(bench.own().standing_until, asked + STANDING);
+    assert_eq!(bench.own().lease_expires_at, asked + STANDING);
     assert!(bench.own().is_member());
 }
 
@@ -88,10 +91,10 @@
     let mut current = map(5, &["a", "b", "c"]);
     current.members[0].incarnation = Incarnation(77);
     let own = Ownership {
-        standing_until: Time::from_millis(9_000),
+        lease_expires_at: Time::from_millis(9_000),
         ..Ownership::new(life("a"), current)
     };
-    assert!(!own.has_standing(Time::from_millis(1)));
+    assert!(!own.has_lease(Time::from_millis(1)));
 }
 
 /// `c` was dropped. Its keys go on only when everyone who stood by the former map can't any more.
@@ -169,7 +172,7 @@
     bench.list(&[listed("a"), listed("b"), listed("c")]);
     bench.pass(2_000);
     bench.list(&[listed("a")]);
-    assert!(!bench.own().has_standing(bench.now));
+    assert!(!bench.own().has_lease(bench.now));
 }
 
 /// The process was started twice under one name and the first life is frozen: it may thaw with
--- a/crates/core/tests/rates.rs
+++ b/crates/core/tests/rates.rs
@@ -14,7 +14,7 @@
     MicroTokens, RateStep, Rates, RatesBody, RatesMessage, Share, ShareItem,
 };
 use bluebellstage_core::{
-    Action, Cx, HomeKey, InstanceId, MemberState, PeerMessage, RefusalKind, RequestId, Tokens,
+    Action, Cx, InstanceId, MemberState, OwnershipKey, PeerMessage, RefusalKind, RequestId, Tokens,
     Tuning,
 };
 use rand::SeedableRng;
@@ -33,7 +33,7 @@
 fn home(fleet: &Fleet) -> InstanceId {
     fleet
         .map()
-        .home(&HomeKey::Workspace(workspace(0)))
+        .owner(&OwnershipKey::Workspace(workspace(0)))
         .expect("a home")
         .clone()
 }
@@ -222,8 +222,8 @@
     // A workspace would exceed its burst: tokens that travel beyond what their share can hold leave
     // room to refill at both ends.
     let script = Script::new(2, 0, &Tuning::default());
-    let key = HomeKey::Workspace(workspace(0));
-    let home = script.map.home(&key).expect("a home").clone();
+    let key = OwnershipKey::Workspace(workspace(0));
+    let home = script.map.owner(&key).expect("a home").clone();
     let other = script
         .map
         .active()
--- a/crates/core/tests/rates_compare.rs
+++ b/crates/core/tests/rates_compare.rs
@@ -15,7 +15,7 @@
 
 use std::collections::BTreeSet;
 
-use bluebellstage_core::{HomeKey, InstanceId, RatePolicy, RequestId, Tuning};
+use bluebellstage_core::{InstanceId, OwnershipKey, RatePolicy, RequestId, Tuning};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rates_central::Central;
@@ -135,8 +135,8 @@
 }
 
 fn kill(fleet: &mut Fleet, kill: Kill) -> InstanceId {
-    let key = HomeKey::Workspace(workspace(0));
-    let home = fleet.map().home(&key).expect("a home").clone();
+    let key = OwnershipKey::Workspace(workspace(0));
+    let home = fleet.map().owner(&key).expect("a home").clone();
     let mut borrowers = (0..INSTANCES).map(instance).filter(|id| *id != home);
     let id = match kill {
         Kill::Borrower => borrowers.next().expect("a borrower"),
--- a/crates/core/tests/support/engines/lone.rs
+++ b/crates/core/tests/support/engines/lone.rs
@@ -8,8 +8,8 @@
     QueueAsk,
 };
 use bluebellstage_core::{
-    Action, AdapterRef, Adoption, Cx, EngineReport, GroupId, HomeKey, Incarnation, InstanceId, Map,
-    Member, MemberRef, MemberState, OrderOutcome, Ownership, PastMap, PeerMessage, Revision,
+    Action, AdapterRef, Adoption, Cx, EngineReport, GroupId, Incarnation, InstanceId, Map, Member,
+    MemberRef, MemberState, OrderOutcome, Ownership, OwnershipKey, PastMap, PeerMessage, Revision,
     TargetId, TargetInfo, TargetOrder, TargetOrderKind, Terms, Time, Tuning,
 };
 
@@ -69,7 +69,7 @@
             history: Vec::new(),
         };
         let mut own = Ownership::new(me, map);
-        own.standing_until = Time::from_millis(3_600_000);
+        own.lease_expires_at = Time::from_millis(3_600_000);
         let mut lone = Self {
             core: Engines::new(&cfg, 1),
             own,
@@ -191,7 +191,7 @@
         map.history.push(past);
         map.revision = map.revision.next();
         self.own.adopted.insert(Adoption {
-            life: self.own.me.clone(),
+            member_ref: self.own.local.clone(),
             map: self.own.map.revision,
         });
     }
@@ -229,7 +229,7 @@
     }
 
     pub fn acts(&self) -> bool {
-        self.own.acts(self.now, &HomeKey::Group(group()))
+        self.own.may_act(self.now, &OwnershipKey::Group(group()))
     }
 }
 
--- a/crates/core/tests/support/engines/node.rs
+++ b/crates/core/tests/support/engines/node.rs
@@ -39,11 +39,11 @@
             cut_until: 0,
             core: Engines::new(cfg, life),
             own: Ownership {
-                me,
+                local: me,
                 map: map.clone(),
-                standing_until: Time(0),
+                lease_expires_at: Time(0),
                 adopted: BTreeSet::new(),
-                silent: BTreeSet::new(),
+                unresponsive: BTreeSet::new(),
                 past_retired_at: None,
             },
             spent: Duration::ZERO,
@@ -66,7 +66,7 @@
             let retired = platform.changed_at + platform.span();
             self.own.past_retired_at = Some(self.clock(retired));
         }
-        self.own.standing_until = self.clock(now + platform.span() - DRIFT);
+        self.own.lease_expires_at = self.clock(now + platform.span() - DRIFT);
         self.own.adopted.clone_from(adopted);
         newer
     }
--- a/crates/core/tests/support/engines/shell.rs
+++ b/crates/core/tests/support/engines/shell.rs
@@ -2,7 +2,7 @@
 
 use bluebellstage_core::engines::{Permit, PermitDecision, PermitEnd};
 use bluebellstage_core::{
-    Action, HomeKey, InstanceId, OrderOutcome, PeerMessage, RequestId, TargetId, TargetOrder,
+    Action, InstanceId, OrderOutcome, OwnershipKey, PeerMessage, RequestId, TargetId, TargetOrder,
     TargetOrderKind,
 };
 use rand::Rng;
@@ -102,8 +102,10 @@
             .engines
             .get(&order.target)
             .and_then(|engine| engine.info.group(it.own.map.terms.grouping));
-        let acts =
-            group.is_some_and(|group| it.own.acts(it.clock(self.now), &HomeKey::Group(group)));
+        let acts = group.is_some_and(|group| {
+            it.own
+                .may_act(it.clock(self.now), &OwnershipKey::Group(group))
+        });
         let (id, target, life) = (order.id, order.target.clone(), it.life);
         if !acts {
             let outcome = OrderOutcome::Failed;
--- a/crates/core/tests/support/engines/world.rs
+++ b/crates/core/tests/support/engines/world.rs
@@ -422,7 +422,7 @@
             .iter()
             .filter(|it| it.own.map.revision == self.platform.map.revision)
             .map(|it| Adoption {
-                life: it.own.me.clone(),
+                member_ref: it.own.local.clone(),
                 map: it.own.map.revision,
             })
             .collect();
--- a/crates/core/tests/support/journal_fleet.rs
+++ b/crates/core/tests/support/journal_fleet.rs
@@ -140,7 +140,7 @@
         };
         let asked = Asked {
             ask: ask.clone(),
-            life: node.seat.own.me.clone(),
+            life: node.seat.own.local.clone(),
             step: None,
             at: now,
             decided_at: None,
@@ -153,8 +153,8 @@
     }
 
     pub fn home(&self, workspace: &WorkspaceId) -> InstanceId {
-        let key = bluebellstage_core::HomeKey::Workspace(workspace.clone());
-        self.script.map.home(&key).expect("a home").clone()
+        let key = bluebellstage_core::OwnershipKey::Workspace(workspace.clone());
+        self.script.map.owner(&key).expect("a home").clone()
     }
 
     pub fn kill(&mut self, id: &InstanceId) {
@@ -183,7 +183,7 @@
             return;
         }
         let life = match self.nodes.get(id) {
-            Some(node) => node.seat.own.me.incarnation.0,
+            Some(node) => node.seat.own.local.incarnation.0,
             None => self.next_life,
         };
         if !self.nodes.contains_key(id) {
@@ -283,7 +283,7 @@
             let Some(node) = self.nodes.get(&life.id) else {
                 continue;
             };
-            if node.seat.own.me != life {
+            if node.seat.own.local != life {
                 continue;
             }
             // A stopped process finds its answers when it goes on.
@@ -304,7 +304,7 @@
             let Some(node) = self.nodes.get(&dispatch.life.id) else {
                 continue;
             };
-            if node.seat.own.me != dispatch.life {
+            if node.seat.own.local != dispatch.life {
                 continue;
             }
             if dispatch.at > now || !node.seat.is_running(now) {
@@ -341,7 +341,7 @@
             let Some(node) = self.nodes.get(&running.life.id) else {
                 continue;
             };
-            if node.seat.own.me != running.life {
+            if node.seat.own.local != running.life {
                 continue;
             }
             if running.at > now || !node.seat.is_running(now) {
@@ -366,7 +366,7 @@
             out: &mut out,
         };
         let result = act(&mut node.journal, &mut cx);
-        let life = node.seat.own.me.clone();
+        let life = node.seat.own.local.clone();
         let is_cut = node.seat.is_cut(self.now);
         for action in out {
             match action {
@@ -407,7 +407,7 @@
     }
 
     fn decided(&mut self, id: &InstanceId, decisions: Vec<JournalDecision>) {
-        let life = self.nodes[id].seat.own.me.clone();
+        let life = self.nodes[id].seat.own.local.clone();
         for decision in decisions {
             let asked = self.asked.get_mut(&decision.request).expect("asked before");
             assert!(
@@ -468,7 +468,7 @@
             let lives = self
                 .nodes
                 .get(&asked.life.id)
-                .is_some_and(|node| node.seat.own.me == asked.life);
+                .is_some_and(|node| node.seat.own.local == asked.life);
             assert!(
                 asked.step.is_some() || !lives,
                 "{request} was never answered"
@@ -487,7 +487,7 @@
             let lives = self
                 .nodes
                 .get(&asked.life.id)
-                .is_some_and(|node| node.seat.own.me == asked.life);
+                .is_some_and(|node| node.seat.own.local == asked.life);
             let call = calls.entry(asked.ask.key.clone()).or_default();
             call.take(asked, lives);
         }
--- a/crates/core/tests/support/membership_bench.rs
+++ b/crates/core/tests/support/membership_bench.rs
@@ -4,10 +4,10 @@
 
 use bluebellstage_core::membership::{Heartbeat, Membership, MembershipMessage};
 use bluebellstage_core::{
-    Action, CallId, Expected, FailureDomain, HomeKey, Incarnation, InstanceId, ListedInstance, Map,
-    Member, MemberRef, MemberState, Notice, ObjectVersion, Ownership, PastMap, PlatformAnswer,
-    PlatformOp, PlatformPurpose, PlatformReply, Revision, Terms, Time, Tuning, Versioned,
-    WorkspaceId,
+    Action, CallId, Expected, FailureDomain, Incarnation, InstanceId, ListedInstance, Map, Member,
+    MemberRef, MemberState, Notice, ObjectVersion, Ownership, OwnershipKey, PastMap,
+    PlatformAnswer, PlatformOp, PlatformPurpose, PlatformReply, Revision, Terms, Time, Tuning,
+    Versioned, WorkspaceId,
 };
 
 const TICK: u64 = 50;
@@ -150,7 +150,7 @@
         echo_incarnation: life("a").incarnation,
         echo,
         retired_below: Revision(0),
-        silent: Vec::new(),
+        unresponsive: Vec::new(),
     }
 }
 
@@ -205,13 +205,13 @@
 }
 
 /// A key whose home is `id` among `ids`.
-pub fn key_of(id: &str, ids: &[&str]) -> HomeKey {
+pub fn key_of(id: &str, ids: &[&str]) -> OwnershipKey {
     let among = map(1, ids);
     let mut keys = (0..100).map(|index| {
         let name = format!("w{index}");
-        HomeKey::Workspace(WorkspaceId::try_from(name.as_str()).expect("a legal name"))
+        OwnershipKey::Workspace(WorkspaceId::try_from(name.as_str()).expect("a legal name"))
     });
     let wanted = instance(id);
-    keys.find(|key| among.home(key) == Some(&wanted))
+    keys.find(|key| among.owner(key) == Some(&wanted))
         .expect("each has some")
 }
--- a/crates/core/tests/support/membership_net.rs
+++ b/crates/core/tests/support/membership_net.rs
@@ -108,11 +108,11 @@
         let mut out = Vec::new();
         match input {
             Input::Tick => {
-                if now >= life.started + LOAD && membership.ownership().has_standing(local) {
-                    membership.ready(local);
+                if now >= life.started + LOAD && membership.ownership().has_lease(local) {
+                    membership.set_ready(local);
                 }
                 if life.stopping.is_some_and(|at| now >= at + LOAD) {
-                    membership.drained(local);
+                    membership.set_drained(local);
                 }
                 membership.tick(local, catalogue, &mut out);
             }
@@ -284,7 +284,10 @@
         beat.echo,
         beat.retired_below.0,
     ];
-    let names = beat.silent.iter().map(|id| 1 + id.as_str().len() as u64);
+    let names = beat
+        .unresponsive
+        .iter()
+        .map(|id| 1 + id.as_str().len() as u64);
     let tags = 3;
     tags + numbers.into_iter().map(varint_size).sum::<u64>() + names.sum::<u64>()
 }
--- a/crates/core/tests/support/membership_oracle.rs
+++ b/crates/core/tests/support/membership_oracle.rs
@@ -41,9 +41,12 @@
         for node in &self.nodes {
             let Some(life) = &node.life else { continue };
             let map = &life.membership.ownership().map;
-            self.homes
-                .entry(map.revision)
-                .or_insert_with(|| self.keys.iter().map(|key| map.home(key).cloned()).collect());
+            self.homes.entry(map.revision).or_insert_with(|| {
+                self.keys
+                    .iter()
+                    .map(|key| map.owner(key).cloned())
+                    .collect()
+            });
         }
     }
 
--- a/crates/core/tests/support/membership_world.rs
+++ b/crates/core/tests/support/membership_world.rs
@@ -4,8 +4,8 @@
 
 use bluebellstage_core::membership::Membership;
 use bluebellstage_core::{
-    FailureDomain, HomeKey, Incarnation, InstanceId, Member, MemberRef, MemberState, Ownership,
-    Revision, Time, Tuning, WorkspaceId,
+    FailureDomain, Incarnation, InstanceId, Member, MemberRef, MemberState, Ownership,
+    OwnershipKey, Revision, Time, Tuning, WorkspaceId,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -21,7 +21,7 @@
 const LIVES: u64 = 1 << 60;
 
 /// Whether an instance acts as home of a key, now and with a lease until some time.
-pub type Rule = fn(&Ownership, Time, Time, &HomeKey) -> bool;
+pub type Rule = fn(&Ownership, Time, Time, &OwnershipKey) -> bool;
 
 /// One running life.
 #[derive(Debug)]
@@ -64,7 +64,7 @@
     pub nodes: Vec<Node>,
     pub platform: FakePlatform,
     pub weather: Weather,
-    pub keys: Vec<HomeKey>,
+    pub keys: Vec<OwnershipKey>,
     pub traffic: Vec<Traffic>,
     /// Sizes are counted only where wanted, because counting is slow.
     pub count_bytes: bool,
@@ -111,7 +111,7 @@
             traffic: vec![Traffic::default(); count],
             count_bytes: false,
             watch: true,
-            rule: |own, now, _leased_until, key| own.acts(now, key),
+            rule: |own, now, _leased_until, key| own.may_act(now, key),
             is_strict: true,
             violation: None,
             cfg,
@@ -305,7 +305,7 @@
                         .map
                         .member(&node.id)
                         .is_some_and(|me| me.state == MemberState::Active)
-                    && own.has_standing(node.clock.read(self.now))
+                    && own.has_lease(node.clock.read(self.now))
             })
         })
     }
@@ -340,10 +340,10 @@
                         life.incarnation.0,
                         if node.frozen { " frozen" } else { "" },
                         own.revision(),
-                        own.has_standing(node.clock.read(self.now)),
+                        own.has_lease(node.clock.read(self.now)),
                         own.adopted
                             .iter()
-                            .map(|a| format!("{}:{}", a.life, a.map))
+                            .map(|a| format!("{}:{}", a.member_ref, a.map))
                             .collect::<Vec<_>>(),
                     )
                 }
@@ -358,9 +358,9 @@
     InstanceId::try_from(format!("i{index}").as_str()).expect("a legal name")
 }
 
-fn key(index: usize) -> HomeKey {
+fn key(index: usize) -> OwnershipKey {
     let name = format!("w{index}");
-    HomeKey::Workspace(WorkspaceId::try_from(name.as_str()).expect("a legal name"))
+    OwnershipKey::Workspace(WorkspaceId::try_from(name.as_str()).expect("a legal name"))
 }
 
 fn member(id: &InstanceId, incarnation: Incarnation, index: usize) -> Member {
--- a/crates/core/tests/support/rates_fleet.rs
+++ b/crates/core/tests/support/rates_fleet.rs
@@ -228,7 +228,7 @@
             return;
         }
         let life = match self.nodes.get(id) {
-            Some(node) => node.seat.own.me.incarnation.0,
+            Some(node) => node.seat.own.local.incarnation.0,
             None => self.start_anew(id),
         };
         self.script.add(self.now, id, life);
@@ -366,7 +366,7 @@
             out: &mut out,
         };
         let result = act(&mut node.rates, &mut cx);
-        let from = node.seat.own.me.clone();
+        let from = node.seat.own.local.clone();
         let cut = node.seat.is_cut(self.now);
         for action in out {
             let Action::Send { to, message } = action else {
--- a/crates/core/tests/support/rates_membership.rs
+++ b/crates/core/tests/support/rates_membership.rs
@@ -114,14 +114,14 @@
     pub fn new(script: &Script, id: InstanceId, life: u64, now: u64, rng: &mut ChaCha8Rng) -> Self {
         Self {
             own: Ownership {
-                me: MemberRef {
+                local: MemberRef {
                     id,
                     incarnation: Incarnation(life),
                 },
                 map: script.map.clone(),
-                standing_until: Time(0),
+                lease_expires_at: Time(0),
                 adopted: BTreeSet::new(),
-                silent: BTreeSet::new(),
+                unresponsive: BTreeSet::new(),
                 past_retired_at: None,
             },
             stopped_until: 0,
@@ -168,7 +168,7 @@
         // Right after a stop its old map may be all it has, and no proof of standing is fresh.
         if self.own.map.revision == script.map.revision && now >= self.adopts_at {
             self.own.adopted.extend(adopted.iter().cloned());
-            self.own.standing_until = local + script.standing;
+            self.own.lease_expires_at = local + script.standing;
         }
     }
 
@@ -190,7 +190,7 @@
     }
 
     pub fn has_standing(&self, now: u64) -> bool {
-        self.own.has_standing(self.local(now))
+        self.own.has_lease(self.local(now))
     }
 }
 
@@ -204,7 +204,7 @@
 
 fn adoption(own: &Ownership) -> Adoption {
     Adoption {
-        life: own.me.clone(),
+        member_ref: own.local.clone(),
         map: own.map.revision,
     }
 }
--- a/crates/daemon/src/process/carry.rs
+++ b/crates/daemon/src/process/carry.rs
@@ -80,7 +80,8 @@
                 log_event!(MapAdopted, "revision" = map.revision, "members" = members);
             }
             Notice::TermsDiffer(terms) => {
-                let (standing_ms, drift_ms) = (terms.standing.as_millis(), terms.drift.as_millis());
+                let (standing_ms, drift_ms) =
+                    (terms.lease_duration.as_millis(), terms.drift.as_millis());
                 log_event!(
                     TermsDiffer,
                     "standing_ms" = standing_ms,
