--- a/crates/core/examples/membership_takeover.rs
+++ b/crates/core/examples/membership_takeover.rs
@@ -1,36 +1,44 @@
-//! Prints how long keys have no acting home after a kill and after a planned leave.
+//! Prints how long keys have no acting owner after a kill and after a planned leave.
 //!
 //! `cargo run --release -p bluebellstage-core --example membership_takeover`
 
-#[expect(dead_code, reason = "shared with tests that also freeze and cut")]
+#[expect(
+    dead_code,
+    reason = "shared with tests that also freeze and partition instances"
+)]
 #[path = "../tests/support"]
 mod support {
+    pub mod membership_cluster;
+    pub mod membership_conditions;
     pub mod membership_net;
     pub mod membership_oracle;
     pub mod membership_platform;
-    pub mod membership_weather;
-    pub mod membership_world;
 }
 
-use support::membership_world::World;
+use support::membership_cluster::Cluster;
 
 const COUNTS: [usize; 3] = [3, 5, 8];
 const SEEDS: u64 = 100;
-/// Virtual milliseconds in which all must have started, or a change must be over.
-const LIMIT: u64 = 20_000;
-/// Time is looked at in steps of this many milliseconds.
-const STEP: u64 = 10;
+/// Maximum virtual milliseconds until all instances are active, and until a change is complete.
+const LIMIT_MS: u64 = 20_000;
+/// Resolution of the measured gaps, in milliseconds.
+const STEP_MS: u64 = 10;
 
 fn main() {
     println!("instances | change | p50 | p99 | longest, in ms of {SEEDS} seeds");
     for count in COUNTS {
-        println!("{count} | killed | {}", spread(count, World::kill));
-        println!("{count} | planned leave | {}", spread(count, World::stop));
+        println!("{count} | killed | {}", percentiles(count, Cluster::kill));
+        println!(
+            "{count} | planned leave | {}",
+            percentiles(count, Cluster::stop)
+        );
     }
 }
 
-fn spread(count: usize, change: fn(&mut World, usize)) -> String {
-    let mut gaps: Vec<_> = (0..SEEDS).map(|seed| gap(count, seed, change)).collect();
+fn percentiles(count: usize, change: fn(&mut Cluster, usize)) -> String {
+    let mut gaps: Vec<_> = (0..SEEDS)
+        .map(|seed| longest_gap_ms(count, seed, change))
+        .collect();
     gaps.sort_unstable();
     let percentile = |percent: usize| gaps[(gaps.len() - 1) * percent / 100];
     format!(
@@ -41,18 +49,22 @@
     )
 }
 
-/// The longest time in which some key had no acting home.
-fn gap(count: usize, seed: u64, change: fn(&mut World, usize)) -> u64 {
-    let mut world = World::started(count, seed);
-    world.run_until_settled(LIMIT);
-    world.run(5_000 + seed * 7);
-    change(&mut world, 0);
-    let mut gap = 0;
+/// Returns the longest time during which some key had no acting owner, in milliseconds.
+fn longest_gap_ms(count: usize, seed: u64, change: fn(&mut Cluster, usize)) -> u64 {
+    let mut cluster = Cluster::started(count, seed);
+    cluster.run_until_settled(LIMIT_MS);
+    cluster.run(5_000 + seed * 7);
+    change(&mut cluster, 0);
+    let mut longest_gap_ms = 0;
     let mut longest = 0;
-    for _ in 0..LIMIT / STEP {
-        world.run(STEP);
-        gap = if world.orphans() == 0 { 0 } else { gap + STEP };
-        longest = longest.max(gap);
+    for _ in 0..LIMIT_MS / STEP_MS {
+        cluster.run(STEP_MS);
+        longest_gap_ms = if cluster.unowned_keys() == 0 {
+            0
+        } else {
+            longest_gap_ms + STEP_MS
+        };
+        longest = longest.max(longest_gap_ms);
     }
     longest
 }
--- a/crates/core/tests/membership_fuzz.rs
+++ b/crates/core/tests/membership_fuzz.rs
@@ -1,15 +1,16 @@
-//! Stateful fuzzing of map, standing and activation: never two acting homes, and always one again.
+//! Stateful fuzzing of map, leases and activation: no key ever has two acting owners, and after all
+//! faults have ended each key has one again.
 //!
 //! `BLUEBELLSTAGE_FUZZ_CASES=1000 cargo test -p bluebellstage-core --release --test membership_fuzz
-//! fresh -- --nocapture` tries fresh cases; `BLUEBELLSTAGE_FUZZ_SEED=…` repeats one.
+//! fresh -- --nocapture` runs new random cases; `BLUEBELLSTAGE_FUZZ_SEED=…` repeats one.
 
 mod support {
+    pub mod membership_cluster;
+    pub mod membership_conditions;
     pub mod membership_faults;
     pub mod membership_net;
     pub mod membership_oracle;
     pub mod membership_platform;
-    pub mod membership_weather;
-    pub mod membership_world;
 }
 
 use std::env;
@@ -19,50 +20,52 @@
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
+use support::membership_cluster::{Cluster, Rule};
 use support::membership_faults::{Fault, Faults, Plan, Step};
-use support::membership_world::{Rule, World};
 
-/// Once all faults end, every key has its home within this many milliseconds: the list's lag
-/// bound, the pause of an instance that was dropped again and again, and T.
-const RECOVERY: u64 = 20_000;
+/// After all faults have ended, every key has its owner within this many milliseconds: the maximum
+/// lag of the instance list, the maximum rejoin backoff, and the lease duration.
+const RECOVERY_MS: u64 = 20_000;
 
-/// Cases of each of the fixed tests.
+/// Number of cases in each fixed block.
 const FIXED_CASES: u64 = 40;
 
-/// Undisturbed instances are all active within this many milliseconds.
-const SETTLING: u64 = 10_000;
+/// Without faults, all instances are active within this many milliseconds.
+const SETTLING_MS: u64 = 10_000;
 
-/// Cases in which each naive rule is tried.
+/// Number of cases that each naive rule is tried with.
 const NAIVE_CASES: u64 = 20;
 
-/// How many faults a case has.
-const STEPS: Range<usize> = 5..30;
+/// Number of faults in a case.
+const STEP_COUNTS: Range<usize> = 5..30;
 
 struct Fuzz;
 
 impl StateMachineTest for Fuzz {
-    type SystemUnderTest = World;
+    type SystemUnderTest = Cluster;
     type Reference = Faults;
 
-    fn init_test(ref_state: &Plan) -> World {
-        let mut world = ref_state.world();
-        if ref_state.settled {
-            world.run_until_settled(SETTLING);
+    fn init_test(ref_state: &Plan) -> Cluster {
+        let mut cluster = ref_state.cluster();
+        if ref_state.starts_settled {
+            cluster.run_until_settled(SETTLING_MS);
         }
-        world
+        cluster
     }
 
-    fn apply(mut state: World, _ref_state: &Plan, transition: Step) -> World {
-        state.suffer(&transition);
+    fn apply(mut state: Cluster, _ref_state: &Plan, transition: Step) -> Cluster {
+        state.apply_step(&transition);
         state
     }
 
-    fn teardown(mut state: World, _ref_state: Plan) {
-        let took = state.recover(RECOVERY);
+    fn teardown(mut state: Cluster, _ref_state: Plan) {
+        let took = state.recover(RECOVERY_MS);
         let took = took
-            + state.run_until(RECOVERY - took, "the platform's homes act", |world| {
-                world.acting() == homes_by_the_platform(world)
-            });
+            + state.run_until(
+                RECOVERY_MS - took,
+                "the owners by the platform's map act",
+                |cluster| cluster.acting_owners() == owners_by_platform_map(cluster),
+            );
         if env::var_os("BLUEBELLSTAGE_FUZZ_CASES").is_some() {
             println!("recovered in {took} ms");
         }
@@ -85,7 +88,7 @@
 fn try_seed(seed: u64) {
     let mut runner = runner(seed);
     let config = runner.config().clone();
-    let strategy = Faults::sequential_strategy(STEPS);
+    let strategy = Faults::sequential_strategy(STEP_COUNTS);
     let result = runner.run(&strategy, |(plan, steps, seen)| {
         Fuzz::test_sequential(config.clone(), plan, steps, seen);
         Ok(())
@@ -102,52 +105,52 @@
 }
 
 #[test]
-fn never_two_acting_homes_first_block() {
+fn two_owners_never_act_first_block() {
     try_fixed(0);
 }
 
 #[test]
-fn never_two_acting_homes_second_block() {
+fn two_owners_never_act_second_block() {
     try_fixed(1);
 }
 
 #[test]
-fn never_two_acting_homes_third_block() {
+fn two_owners_never_act_third_block() {
     try_fixed(2);
 }
 
 #[test]
-fn never_two_acting_homes_fourth_block() {
+fn two_owners_never_act_fourth_block() {
     try_fixed(3);
 }
 
 #[test]
-fn never_two_acting_homes_in_as_many_fresh_cases_as_asked_for() {
-    if let Some(seed) = number("BLUEBELLSTAGE_FUZZ_SEED") {
+fn two_owners_never_act_in_the_requested_number_of_fresh_cases() {
+    if let Some(seed) = env_number("BLUEBELLSTAGE_FUZZ_SEED") {
         try_seed(seed);
         return;
     }
-    let cases = number("BLUEBELLSTAGE_FUZZ_CASES").unwrap_or(0);
+    let cases = env_number("BLUEBELLSTAGE_FUZZ_CASES").unwrap_or(0);
     for _ in 0..cases {
         try_seed(rand::random());
     }
 }
 
-/// A process is started twice under one name. The frozen first life thaws, takes the entry of the
-/// second and dies, and all others die too. The second, alone, held itself replaced for ever, so
-/// that no key had a home.
+/// A process is started twice under one name. The first incarnation was frozen; it thaws, takes the
+/// entry of the second and dies, and all other instances die too. The second incarnation, now alone,
+/// considered itself superseded forever, so no key had an owner.
 #[test]
-fn a_life_whose_replacement_died_takes_its_place_again() {
+fn a_superseded_incarnation_rejoins_after_the_other_died() {
     let plan = Plan {
         instances: 3,
         seed: 17_842_061_391_711_751_685,
-        settled: false,
-        watch: false,
+        starts_settled: false,
+        has_watch: false,
     };
     let lossy = Fault::Network {
-        loss: 9,
-        doubled: 0,
-        delay: 5,
+        loss_percent: 9,
+        duplicated_percent: 0,
+        max_delay_ms: 5,
     };
     let steps = [
         (Fault::Replace(0), 0),
@@ -157,13 +160,14 @@
         (Fault::Kill(1), 509),
         (Fault::Kill(2), 0),
     ];
-    let steps = steps.map(|(fault, then)| Step { fault, then });
+    let steps = steps.map(|(fault, then_run_ms)| Step { fault, then_run_ms });
     Fuzz::test_sequential(Config::default(), plan, steps.to_vec(), None);
 }
 
-/// Seeds that failed once: by the case above, and by faults of the world itself.
+/// Guards against regressions: these seeds failed because of the case above, and because of bugs in
+/// the simulation itself.
 #[test]
-fn seeds_that_failed_once_pass() {
+fn formerly_failing_seeds_pass() {
     for seed in [
         14_807_131_227_008_137_276,
         6_794_708_489_869_766_114,
@@ -174,54 +178,60 @@
     }
 }
 
-/// The home under the newest map that an instance knows acts.
-const MAP_ONLY: Rule = |own, _now, _leased_until, key| own.is_member() && own.is_owner(key);
+/// The owner under the newest map that an instance knows acts.
+const NEWEST_MAP_ONLY: Rule =
+    |own, _now, _platform_lease_until, key| own.is_member() && own.is_owner(key);
 
-/// That, while a read of the map was answered within T: a lease in the platform.
-const LEASE: Rule =
-    |own, now, leased_until, key| MAP_ONLY(own, now, now, key) && now < leased_until;
+/// As above, and the platform responded to a read of the map within the lease duration: a lease in
+/// the platform.
+const PLATFORM_LEASE: Rule = |own, now, platform_lease_until, key| {
+    NEWEST_MAP_ONLY(own, now, now, key) && now < platform_lease_until
+};
 
-/// That, with our standing, but without waiting for the former home.
-const STANDING_ONLY: Rule = |own, now, _leased_until, key| own.has_lease(now) && own.is_owner(key);
+/// The owner acts with the lease of this crate, but without waiting for the former owner.
+const QUORUM_LEASE_ONLY: Rule =
+    |own, now, _platform_lease_until, key| own.has_lease(now) && own.is_owner(key);
 
-/// The fuzz must be able to see what it looks for.
+/// Proves that the fuzz tests detect two acting owners: rules with a known flaw must fail in the
+/// fixed cases.
 #[test]
-fn naive_rules_let_two_homes_act_in_the_fixed_cases() {
+fn naive_rules_let_two_owners_act_in_the_fixed_cases() {
     let rules = [
-        ("newest map", MAP_ONLY),
-        ("lease", LEASE),
-        ("standing", STANDING_ONLY),
+        ("newest map", NEWEST_MAP_ONLY),
+        ("platform lease", PLATFORM_LEASE),
+        ("quorum lease", QUORUM_LEASE_ONLY),
     ];
     for (name, rule) in rules {
-        let caught = (0..NAIVE_CASES).filter(|seed| lets_two_act(rule, *seed));
-        let caught = caught.count();
-        println!("{name} only: two homes act in {caught} of {NAIVE_CASES} cases");
-        assert!(caught > 0);
+        let detected = (0..NAIVE_CASES).filter(|seed| lets_two_owners_act(rule, *seed));
+        let detected = detected.count();
+        println!("{name} only: two owners act in {detected} of {NAIVE_CASES} cases");
+        assert!(detected > 0);
     }
 }
 
-fn lets_two_act(rule: Rule, seed: u64) -> bool {
-    let strategy = Faults::sequential_strategy(STEPS);
+fn lets_two_owners_act(rule: Rule, seed: u64) -> bool {
+    let strategy = Faults::sequential_strategy(STEP_COUNTS);
     let tree = strategy.new_tree(&mut runner(seed)).expect("a case");
     let (plan, steps, _) = tree.current();
-    let mut world = plan.world();
-    world.run_until_settled(SETTLING);
-    world.rule = rule;
-    world.is_strict = false;
+    let mut cluster = plan.cluster();
+    cluster.run_until_settled(SETTLING_MS);
+    cluster.rule = rule;
+    cluster.is_strict = false;
     steps.iter().any(|step| {
-        world.suffer(step);
-        world.violation.is_some()
+        cluster.apply_step(step);
+        cluster.violation.is_some()
     })
 }
 
-/// The obviously right version: whoever the platform's map names, known everywhere at once.
-fn homes_by_the_platform(world: &World) -> Vec<Vec<InstanceId>> {
-    let stored = world.platform.object.as_ref().expect("a map is stored");
+/// Returns the owners of all keys by the stored map: the reference that the cluster must converge
+/// to.
+fn owners_by_platform_map(cluster: &Cluster) -> Vec<Vec<InstanceId>> {
+    let stored = cluster.platform.object.as_ref().expect("a map is stored");
     let map: Map = serde_json::from_str(&stored.value).expect("the map parses");
-    let homes = world.keys.iter().map(|key| map.owner(key).cloned());
-    homes.map(|home| home.into_iter().collect()).collect()
+    let owners = cluster.keys.iter().map(|key| map.owner(key).cloned());
+    owners.map(|owner| owner.into_iter().collect()).collect()
 }
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     env::var(name).ok()?.parse().ok()
 }
--- a/crates/core/tests/support/membership_faults.rs
+++ b/crates/core/tests/support/membership_faults.rs
@@ -1,68 +1,69 @@
-//! What the fuzz does to a world: faults of every kind, any of them at once.
+//! Fault injection for the fuzz tests: all kinds of faults, in any combination.
 
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 
-use super::membership_weather::{PlatformState, Weather};
-use super::membership_world::{Node, Traffic, World};
+use super::membership_cluster::{Cluster, Node, Traffic};
+use super::membership_conditions::{Conditions, PlatformState};
 
-/// One fault, or its end.
+/// Starts or ends a fault.
 #[derive(Clone, Debug)]
 pub enum Fault {
     Kill(usize),
     Start(usize),
-    /// Killed and started again with nothing.
+    /// Killed and started again without any state.
     Restart(usize),
     Freeze(usize),
-    /// Frozen while its read of the map is on its way.
+    /// Frozen while its read of the map is in flight.
     FreezeInCall(usize),
-    /// Frozen, and a new life started under its name.
+    /// Frozen, and a new incarnation is started under the same name.
     Replace(usize),
     Thaw(usize),
     Stop(usize),
-    /// Nothing gets from the first to the second.
-    Cut(usize, usize),
-    /// Nothing gets from or to the instance.
+    /// All messages from the first to the second are dropped.
+    BlockLink(usize, usize),
+    /// All messages from and to the instance are dropped.
     Isolate(usize),
-    CutFromPlatform(usize),
+    IsolateFromPlatform(usize),
     Network {
-        loss: u8,
-        doubled: u8,
-        delay: u64,
+        loss_percent: u8,
+        duplicated_percent: u8,
+        max_delay_ms: u64,
     },
     Platform(PlatformState),
     Heal,
     None,
 }
 
-/// A fault and the milliseconds that pass after it.
+/// A fault and how long the cluster runs after it.
 #[derive(Clone, Debug)]
 pub struct Step {
     pub fault: Fault,
-    pub then: u64,
+    pub then_run_ms: u64,
 }
 
-/// The beginning of a run.
+/// The initial conditions of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub instances: usize,
-    /// Decides clocks, delays and losses.
+    /// Determines clocks, delays and losses.
     pub seed: u64,
-    /// The first steps fall into the start itself.
-    pub settled: bool,
-    /// Instances are told of changes of the map object.
-    pub watch: bool,
+    /// Whether all instances are active before the first fault; otherwise the first faults occur
+    /// during the start.
+    pub starts_settled: bool,
+    /// Whether instances are notified of changes of the map object.
+    pub has_watch: bool,
 }
 
 impl Plan {
-    pub fn world(self) -> World {
-        let mut world = World::started(self.instances, self.seed);
-        world.watch = self.watch;
-        world
+    pub fn cluster(self) -> Cluster {
+        let mut cluster = Cluster::started(self.instances, self.seed);
+        cluster.has_watch = self.has_watch;
+        cluster
     }
 }
 
-/// Faults need no model: any may come at any time.
+/// The reference model. It has no state that changes: any fault may occur at any time.
 #[derive(Debug)]
 pub struct Faults;
 
@@ -71,28 +72,28 @@
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Plan> {
-        let settled = prop::bool::weighted(0.7);
-        // Not shrunk: the faults are made for this many instances.
+        let starts_settled = prop::bool::weighted(0.7);
+        // Not shrunk, because the generated faults refer to this number of instances.
         let instances = (3..=5_usize).no_shrink();
-        (instances, any::<u64>(), settled, any::<bool>())
-            .prop_map(|(instances, seed, settled, watch)| Plan {
+        (instances, any::<u64>(), starts_settled, any::<bool>())
+            .prop_map(|(instances, seed, starts_settled, has_watch)| Plan {
                 instances,
                 seed,
-                settled,
-                watch,
+                starts_settled,
+                has_watch,
             })
             .boxed()
     }
 
     fn transitions(state: &Plan) -> BoxedStrategy<Step> {
-        let then = prop_oneof![
+        let then_run_ms = prop_oneof![
             2 => 0..60_u64,
             2 => 60..600_u64,
             3 => 600..2_500_u64,
             1 => 2_500..6_000_u64,
         ];
-        (fault(state.instances), then)
-            .prop_map(|(fault, then)| Step { fault, then })
+        (fault(state.instances), then_run_ms)
+            .prop_map(|(fault, then_run_ms)| Step { fault, then_run_ms })
             .boxed()
     }
 
@@ -102,19 +103,19 @@
 }
 
 fn fault(instances: usize) -> BoxedStrategy<Fault> {
-    let one = || 0..instances;
+    let instance = || 0..instances;
     prop_oneof![
-        3 => one().prop_map(Fault::Kill),
-        4 => one().prop_map(Fault::Start),
-        2 => one().prop_map(Fault::Restart),
-        2 => one().prop_map(Fault::Freeze),
-        2 => one().prop_map(Fault::FreezeInCall),
-        2 => one().prop_map(Fault::Replace),
-        3 => one().prop_map(Fault::Thaw),
-        1 => one().prop_map(Fault::Stop),
-        3 => (one(), one()).prop_map(|(from, to)| Fault::Cut(from, to)),
-        2 => one().prop_map(Fault::Isolate),
-        2 => one().prop_map(Fault::CutFromPlatform),
+        3 => instance().prop_map(Fault::Kill),
+        4 => instance().prop_map(Fault::Start),
+        2 => instance().prop_map(Fault::Restart),
+        2 => instance().prop_map(Fault::Freeze),
+        2 => instance().prop_map(Fault::FreezeInCall),
+        2 => instance().prop_map(Fault::Replace),
+        3 => instance().prop_map(Fault::Thaw),
+        1 => instance().prop_map(Fault::Stop),
+        3 => (instance(), instance()).prop_map(|(from, to)| Fault::BlockLink(from, to)),
+        2 => instance().prop_map(Fault::Isolate),
+        2 => instance().prop_map(Fault::IsolateFromPlatform),
         2 => network(),
         3 => platform().prop_map(Fault::Platform),
         2 => Just(Fault::Heal),
@@ -124,26 +125,29 @@
 }
 
 fn network() -> impl Strategy<Value = Fault> {
-    let delay = prop_oneof![0..20_u64, 20..600_u64, 600..4_000_u64];
-    (0..50_u8, 0..50_u8, delay).prop_map(|(loss, doubled, delay)| Fault::Network {
-        loss,
-        doubled,
-        delay,
-    })
+    let max_delay_ms = prop_oneof![0..20_u64, 20..600_u64, 600..4_000_u64];
+    (0..50_u8, 0..50_u8, max_delay_ms).prop_map(
+        |(loss_percent, duplicated_percent, max_delay_ms)| Fault::Network {
+            loss_percent,
+            duplicated_percent,
+            max_delay_ms,
+        },
+    )
 }
 
 fn platform() -> impl Strategy<Value = PlatformState> {
     prop_oneof![
-        Just(PlatformState::Well),
-        Just(PlatformState::Away),
+        Just(PlatformState::Healthy),
+        Just(PlatformState::Unavailable),
         Just(PlatformState::Hanging),
         Just(PlatformState::Slow),
-        Just(PlatformState::LosesAnswers),
+        Just(PlatformState::LosesResponses),
     ]
 }
 
-impl World {
-    pub fn suffer(&mut self, step: &Step) {
+impl Cluster {
+    /// Applies the fault of `step` and runs the cluster for its duration.
+    pub fn apply_step(&mut self, step: &Step) {
         match step.fault {
             Fault::Kill(node) => self.kill(node),
             Fault::Start(node) => self.start(node),
@@ -156,58 +160,58 @@
             Fault::Replace(node) => self.replace(node),
             Fault::Thaw(node) => self.thaw(node),
             Fault::Stop(node) => self.stop(node),
-            Fault::Cut(from, to) => self.cut(from, to),
+            Fault::BlockLink(from, to) => self.block_link(from, to),
             Fault::Isolate(node) => self.isolate(node),
-            Fault::CutFromPlatform(node) => self.nodes[node].cut_from_platform = true,
+            Fault::IsolateFromPlatform(node) => self.nodes[node].is_isolated_from_platform = true,
             Fault::Network {
-                loss,
-                doubled,
-                delay,
+                loss_percent,
+                duplicated_percent,
+                max_delay_ms,
             } => {
-                self.weather = Weather {
-                    loss,
-                    doubled,
-                    delay,
-                    ..self.weather
+                self.conditions = Conditions {
+                    loss_percent,
+                    duplicated_percent,
+                    max_delay_ms,
+                    ..self.conditions
                 }
             }
-            Fault::Platform(state) => self.weather.platform = state,
+            Fault::Platform(state) => self.conditions.platform = state,
             Fault::Heal => self.heal(),
             Fault::None => {}
         }
-        self.run(step.then);
+        self.run(step.then_run_ms);
     }
 
-    /// Starts a new life under the name of one that is frozen from now on, but still there.
+    /// Freezes the running incarnation and starts a new one under the same name.
     fn replace(&mut self, node: usize) {
-        let slot = &mut self.nodes[node];
-        if slot.life.is_none() {
+        let node_state = &mut self.nodes[node];
+        if node_state.process.is_none() {
             return;
         }
         let old = Node {
-            id: slot.id.clone(),
-            clock: slot.clock,
-            life: slot.life.take(),
-            lives: 0,
-            frozen: true,
-            held: std::mem::take(&mut slot.held),
-            cut_from_platform: false,
+            id: node_state.id.clone(),
+            clock: node_state.clock,
+            process: node_state.process.take(),
+            incarnations: 0,
+            is_frozen: true,
+            held_inputs: std::mem::take(&mut node_state.held_inputs),
+            is_isolated_from_platform: false,
         };
         self.nodes.push(old);
         self.traffic.push(Traffic::default());
         self.start(node);
     }
 
-    /// Freezes an instance whose read of the map is on its way.
+    /// Freezes an instance while its read of the map is in flight.
     fn freeze_in_call(&mut self, node: usize) {
-        self.hint(node);
+        self.send_map_hint(node);
         self.freeze(node);
     }
 
     fn isolate(&mut self, node: usize) {
         for other in 0..self.nodes.len() {
-            self.cut(node, other);
-            self.cut(other, node);
+            self.block_link(node, other);
+            self.block_link(other, node);
         }
     }
 }
--- a/crates/core/tests/support/membership_bench.rs
+++ b/crates/core/tests/support/membership_harness.rs
@@ -1,4 +1,4 @@
-//! One `Membership` that is told everything by hand. Its instance is `a`.
+//! A test harness for one `Membership`, with all inputs given by the test. Its instance is `a`.
 
 use std::time::Duration;
 
@@ -10,85 +10,90 @@
     Versioned, WorkspaceId,
 };
 
-const TICK: u64 = 50;
+const TICK_INTERVAL_MS: u64 = 50;
 
-/// A membership, its time and all that it wanted done.
+/// A membership, its time and all actions that it returned.
 #[derive(Debug)]
-pub struct Bench {
+pub struct Harness {
     pub membership: Membership,
     pub now: Time,
     pub out: Vec<Action>,
 }
 
-impl Bench {
-    /// The version at which every read finds the map.
+impl Harness {
+    /// The object version that every read returns.
     pub const VERSION: ObjectVersion = ObjectVersion(40);
 
-    /// A life that has just started.
+    /// Creates an incarnation that has just started.
     pub fn fresh() -> Self {
         let now = Time::from_millis(1_000_000);
         let me = member("a", MemberState::Joining);
-        let mut bench = Self {
+        let mut harness = Self {
             membership: Membership::new(&Tuning::default(), me, now),
             now,
             out: Vec::new(),
         };
-        bench.tick();
-        bench
+        harness.tick();
+        harness
     }
 
-    /// A life that has just been pushed `map`; its first heartbeats are on their way.
+    /// Creates an incarnation that has just adopted a pushed `map` and sent its first heartbeats.
     pub fn adopted(map: Map) -> Self {
-        let mut bench = Self::fresh();
+        let mut harness = Self::fresh();
         let push = MembershipMessage::Push(Box::new(map));
-        bench.message("b", push);
-        bench
+        harness.message("b", push);
+        harness
     }
 
-    pub fn own(&self) -> &Ownership {
+    pub fn ownership(&self) -> &Ownership {
         self.membership.ownership()
     }
 
-    /// Lets time pass, with ticks.
-    pub fn pass(&mut self, millis: u64) {
-        for _ in 0..millis / TICK {
-            self.now = self.now + Duration::from_millis(TICK);
+    /// Advances the time, with ticks.
+    pub fn advance(&mut self, millis: u64) {
+        for _ in 0..millis / TICK_INTERVAL_MS {
+            self.now = self.now + Duration::from_millis(TICK_INTERVAL_MS);
             self.tick();
         }
     }
 
-    /// Lets time pass without ticks, as for a frozen process.
-    pub fn skip(&mut self, millis: u64) {
+    /// Advances the time without ticks, as for a frozen process, and then ticks once.
+    pub fn advance_frozen(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
         self.tick();
     }
 
-    pub fn hear(&mut self, from: &str, mut heartbeat: Heartbeat) {
+    /// Delivers a heartbeat; incarnation zero stands for the usual one of the sender.
+    pub fn receive(&mut self, from: &str, mut heartbeat: Heartbeat) {
         if heartbeat.incarnation == Incarnation(0) {
-            heartbeat.incarnation = life(from).incarnation;
+            heartbeat.incarnation = member_ref(from).incarnation;
         }
         self.message(from, MembershipMessage::Heartbeat(heartbeat));
     }
 
-    /// Answers the latest read of the map.
-    pub fn read(&mut self, asked: Time, map: &Map) {
-        let value = serde_json::to_string(map).expect("a map serialises").into();
+    /// Responds to the latest read of the map, which was sent at `requested_at`.
+    pub fn answer_read(&mut self, requested_at: Time, map: &Map) {
+        let value = serde_json::to_string(map)
+            .expect("a map is serialisable")
+            .into();
         let version = Self::VERSION;
         let reply = PlatformReply::Got(Some(Versioned { value, version }));
-        self.answer(PlatformPurpose::MapRead, asked, reply);
+        self.answer(PlatformPurpose::MapRead, requested_at, reply);
     }
 
-    pub fn written(&mut self, asked: Time) {
+    /// Responds to the latest write of the map, which was sent at `requested_at`.
+    pub fn answer_write(&mut self, requested_at: Time) {
         let reply = PlatformReply::Written(ObjectVersion(41));
-        self.answer(PlatformPurpose::MapWrite, asked, reply);
+        self.answer(PlatformPurpose::MapWrite, requested_at, reply);
     }
 
-    pub fn list(&mut self, instances: &[ListedInstance]) {
+    /// Responds to the latest instance list call.
+    pub fn answer_list(&mut self, instances: &[ListedInstance]) {
         let reply = PlatformReply::Instances(instances.to_vec());
         self.answer(PlatformPurpose::InstanceList, self.now, reply);
     }
 
-    /// All map writes that it wanted so far.
+    /// Returns all map writes that were requested so far.
     pub fn writes(&self) -> Vec<(Expected, Map)> {
         let puts = self.out.iter().filter_map(|action| match action {
             Action::Platform(call) => match &call.op {
@@ -102,19 +107,19 @@
         puts.collect()
     }
 
-    /// How many peers it suspected so far.
-    pub fn suspected(&self) -> usize {
+    /// Returns how many peers were reported as suspected so far.
+    pub fn suspected_count(&self) -> usize {
         let is_suspicion =
             |action: &&Action| matches!(action, Action::Notice(Notice::PeerSuspected(_)));
         self.out.iter().filter(is_suspicion).count()
     }
 
-    fn answer(&mut self, purpose: PlatformPurpose, asked: Time, reply: PlatformReply) {
+    fn answer(&mut self, purpose: PlatformPurpose, requested_at: Time, reply: PlatformReply) {
         let id = self.latest_call(&purpose);
         let answer = PlatformAnswer {
             id,
             purpose,
-            asked,
+            asked: requested_at,
             reply,
         };
         self.membership.platform(self.now, answer, &mut self.out);
@@ -125,7 +130,7 @@
             Action::Platform(call) if call.purpose == *purpose => Some(call.id),
             _ => None,
         });
-        calls.next().expect("it asked")
+        calls.next().expect("the call was sent")
     }
 
     fn message(&mut self, from: &str, message: MembershipMessage) {
@@ -140,21 +145,22 @@
     }
 }
 
-/// A heartbeat of a peer's usual life that knows `map` and has received heartbeat `echo`.
-pub fn beat(map: u64, echo: u64) -> Heartbeat {
+/// Creates a heartbeat of a peer's usual incarnation that has adopted `map` and echoes heartbeat
+/// `echo`.
+pub fn heartbeat(map: u64, echo: u64) -> Heartbeat {
     Heartbeat {
         incarnation: Incarnation(0),
         sequence: map,
         map: Revision(map),
         catalogue: Revision(1),
-        echo_incarnation: life("a").incarnation,
+        echo_incarnation: member_ref("a").incarnation,
         echo,
         retired_below: Revision(0),
         unresponsive: Vec::new(),
     }
 }
 
-/// A map of active instances.
+/// Creates a map of active instances.
 pub fn map(revision: u64, ids: &[&str]) -> Map {
     Map {
         revision: Revision(revision),
@@ -167,8 +173,8 @@
     }
 }
 
-/// The map with its predecessor in its history.
-pub fn after(past: &Map, mut map: Map) -> Map {
+/// Adds `past` to the history of `map`.
+pub fn with_history(past: &Map, mut map: Map) -> Map {
     map.history.push(PastMap::from(past));
     map
 }
@@ -177,8 +183,8 @@
     InstanceId::try_from(id).expect("a legal name")
 }
 
-/// The usual life of an instance.
-pub fn life(id: &str) -> MemberRef {
+/// Returns the usual incarnation of an instance.
+pub fn member_ref(id: &str) -> MemberRef {
     MemberRef {
         id: instance(id),
         incarnation: Incarnation(u64::from(id.as_bytes()[0])),
@@ -188,7 +194,7 @@
 pub fn member(id: &str, state: MemberState) -> Member {
     Member {
         id: instance(id),
-        incarnation: life(id).incarnation,
+        incarnation: member_ref(id).incarnation,
         failure_domain: FailureDomain::try_from("d").expect("a legal name"),
         caller_address: ([127, 0, 0, 1], 7_000).into(),
         peer_address: ([127, 0, 0, 1], 8_000).into(),
@@ -199,19 +205,19 @@
 pub fn listed(id: &str) -> ListedInstance {
     ListedInstance {
         id: instance(id),
-        incarnation: life(id).incarnation,
+        incarnation: member_ref(id).incarnation,
         leaving: false,
     }
 }
 
-/// A key whose home is `id` among `ids`.
-pub fn key_of(id: &str, ids: &[&str]) -> OwnershipKey {
-    let among = map(1, ids);
+/// Returns a key whose owner is `id` among `ids`.
+pub fn key_owned_by(id: &str, ids: &[&str]) -> OwnershipKey {
+    let map = map(1, ids);
     let mut keys = (0..100).map(|index| {
         let name = format!("w{index}");
         OwnershipKey::Workspace(WorkspaceId::try_from(name.as_str()).expect("a legal name"))
     });
     let wanted = instance(id);
-    keys.find(|key| among.owner(key) == Some(&wanted))
-        .expect("each has some")
+    keys.find(|key| map.owner(key) == Some(&wanted))
+        .expect("each instance owns some keys")
 }
--- a/crates/core/tests/support/membership_net.rs
+++ b/crates/core/tests/support/membership_net.rs
@@ -1,4 +1,4 @@
-//! What travels between instances and the platform, and how it arrives.
+//! Delivery of messages between instances, and of calls to the platform.
 
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 };
 use rand::Rng;
 
-use super::membership_weather::{MS, PlatformState};
-use super::membership_world::{Life, TICK, World};
+use super::membership_cluster::{Cluster, Process, TICK_INTERVAL};
+use super::membership_conditions::{MS, PlatformState};
 
-/// A call without an answer by then is answered as unknown.
+/// A call without a response by then completes with an unknown outcome, in microseconds.
 const CALL_TIMEOUT: u64 = 1_500 * MS;
 
-/// How long a naive lease holds.
-const LEASE: Duration = Duration::from_secs(2);
+/// Duration of the lease that a naive rule uses.
+const PLATFORM_LEASE: Duration = Duration::from_secs(2);
 
-/// Time from joining until the catalogue counts as loaded, and from a stop until it has drained.
-const LOAD: u64 = 100 * MS;
+/// Microseconds from the start until the catalogue is loaded, and from a stop until the instance is
+/// drained.
+const LOAD_TIME: u64 = 100 * MS;
 
 #[derive(Debug)]
 pub enum Input {
@@ -30,69 +31,75 @@
 
 #[derive(Debug)]
 pub enum Arrival {
-    /// At an instance; `life` is set where another life must not get it.
+    /// At an instance; `incarnation` is set if no other incarnation may receive the input.
     At {
         node: usize,
-        life: Option<Incarnation>,
+        incarnation: Option<Incarnation>,
         input: Input,
     },
     /// At the platform.
-    Call(Flight),
+    Call(PendingCall),
 }
 
-/// A platform call on its way.
+/// A platform call in flight.
 #[derive(Debug)]
-pub struct Flight {
+pub struct PendingCall {
     node: usize,
-    life: Incarnation,
+    incarnation: Incarnation,
     call: PlatformCall,
-    asked: Time,
-    sent: u64,
-    /// The caller has not been told yet that its call is lost.
-    awaited: bool,
+    /// When the call was sent, by the clock of the instance.
+    requested_at: Time,
+    sent_at: u64,
+    /// The call has not timed out yet.
+    is_awaited: bool,
 }
 
-impl World {
+impl Cluster {
     pub fn arrive(&mut self, arrival: Arrival) {
         match arrival {
-            Arrival::At { node, life, input } => {
-                let Some(node) = self.receiver(node, life) else {
+            Arrival::At {
+                node,
+                incarnation,
+                input,
+            } => {
+                let Some(node) = self.receiver(node, incarnation) else {
                     return;
                 };
-                if !self.nodes[node].frozen {
-                    let ticks = matches!(input, Input::Tick);
+                if !self.nodes[node].is_frozen {
+                    let is_tick = matches!(input, Input::Tick);
                     self.step(node, input);
-                    if ticks {
+                    if is_tick {
                         self.schedule_tick(node);
                     }
                 } else if !matches!(input, Input::Tick) {
-                    self.nodes[node].held.push_back(input);
+                    self.nodes[node].held_inputs.push_back(input);
                 }
             }
-            Arrival::Call(flight) => self.serve(&flight),
+            Arrival::Call(pending) => self.serve(&pending),
         }
     }
 
-    /// The running life that something arrives at: this very one, or whichever has the name now.
-    fn receiver(&self, node: usize, life: Option<Incarnation>) -> Option<usize> {
-        let Some(wanted) = life else {
-            return self.nodes[node].life.as_ref().map(|_| node);
+    /// Returns the node that receives an input: the one that runs `incarnation`, or `node` if any
+    /// incarnation of it runs.
+    fn receiver(&self, node: usize, incarnation: Option<Incarnation>) -> Option<usize> {
+        let Some(wanted) = incarnation else {
+            return self.nodes[node].process.as_ref().map(|_| node);
         };
-        let is_wanted = |life: &Life| life.incarnation == wanted;
+        let is_wanted = |process: &Process| process.incarnation == wanted;
         let mut nodes = self.nodes.iter();
-        nodes.position(|node| node.life.as_ref().is_some_and(is_wanted))
+        nodes.position(|node| node.process.as_ref().is_some_and(is_wanted))
     }
 
     pub fn schedule_tick(&mut self, node: usize) {
-        let Some(life) = &self.nodes[node].life else {
+        let Some(process) = &self.nodes[node].process else {
             return;
         };
-        let life = Some(life.incarnation);
+        let incarnation = Some(process.incarnation);
         self.enqueue(
-            self.now + TICK,
+            self.now + TICK_INTERVAL,
             Arrival::At {
                 node,
-                life,
+                incarnation,
                 input: Input::Tick,
             },
         );
@@ -100,18 +107,24 @@
 
     pub fn step(&mut self, node: usize, input: Input) {
         let now = self.now;
-        let slot = &mut self.nodes[node];
-        let local = slot.clock.read(now);
-        let Some(life) = &mut slot.life else { return };
-        let membership = &mut life.membership;
+        let node_state = &mut self.nodes[node];
+        let local = node_state.clock.read(now);
+        let Some(process) = &mut node_state.process else {
+            return;
+        };
+        let membership = &mut process.membership;
         let catalogue = Revision(1);
         let mut out = Vec::new();
         match input {
             Input::Tick => {
-                if now >= life.started + LOAD && membership.ownership().has_lease(local) {
+                if now >= process.started_at + LOAD_TIME && membership.ownership().has_lease(local)
+                {
                     membership.set_ready(local);
                 }
-                if life.stopping.is_some_and(|at| now >= at + LOAD) {
+                if process
+                    .stopping_since
+                    .is_some_and(|at| now >= at + LOAD_TIME)
+                {
                     membership.set_drained(local);
                 }
                 membership.tick(local, catalogue, &mut out);
@@ -122,25 +135,25 @@
             Input::Message(..) => {}
             Input::Answer(answer) => {
                 if matches!(answer.reply, PlatformReply::Got(_)) {
-                    life.leased_until = local + LEASE;
+                    process.platform_lease_until = local + PLATFORM_LEASE;
                 }
                 membership.platform(local, answer, &mut out);
             }
         }
-        let incarnation = life.incarnation;
+        let incarnation = process.incarnation;
         let has_left = membership.has_left();
         for action in out {
-            self.carry_out(node, incarnation, action);
+            self.perform(node, incarnation, action);
         }
         if has_left {
             self.kill(node);
         }
     }
 
-    fn carry_out(&mut self, node: usize, life: Incarnation, action: Action) {
+    fn perform(&mut self, node: usize, incarnation: Incarnation, action: Action) {
         match action {
             Action::Send { to, message } => self.send(node, &to, &message),
-            Action::Platform(call) => self.call(node, life, call),
+            Action::Platform(call) => self.call(node, incarnation, call),
             Action::Notice(Notice::ObjectMalformed(name)) => panic!("{name} is malformed"),
             _ => {}
         }
@@ -149,142 +162,146 @@
     fn send(&mut self, from: usize, to: &InstanceId, message: &PeerMessage) {
         self.traffic[from].messages += 1;
         if self.count_bytes {
-            let text = serde_json::to_string(message).expect("messages serialise");
-            self.traffic[from].bytes += text.len() as u64;
-            self.traffic[from].binary_bytes += binary_size(message);
+            let json = serde_json::to_string(message).expect("messages are serialisable");
+            self.traffic[from].json_bytes += json.len() as u64;
+            self.traffic[from].bincode_bytes += bincode_size(message);
         }
         let Some(node) = self.nodes.iter().position(|node| node.id == *to) else {
             return;
         };
-        if self.cuts.contains(&(from, node)) || self.chance(self.weather.loss) {
+        if self.blocked_links.contains(&(from, node))
+            || self.roll_percent(self.conditions.loss_percent)
+        {
             return;
         }
-        let copies = if self.chance(self.weather.doubled) {
+        let copies = if self.roll_percent(self.conditions.duplicated_percent) {
             2
         } else {
             1
         };
         for _ in 0..copies {
             let input = Input::Message(self.nodes[from].id.clone(), message.clone());
-            let at = self.now + 300 + self.rng.random_range(0..=self.weather.delay * MS);
+            let at = self.now + 300 + self.rng.random_range(0..=self.conditions.max_delay_ms * MS);
             self.enqueue(
                 at,
                 Arrival::At {
                     node,
-                    life: None,
+                    incarnation: None,
                     input,
                 },
             );
         }
     }
 
-    fn call(&mut self, node: usize, life: Incarnation, call: PlatformCall) {
+    fn call(&mut self, node: usize, incarnation: Incarnation, call: PlatformCall) {
         self.traffic[node].platform_calls += 1;
-        let mut flight = Flight {
+        let mut pending = PendingCall {
             node,
-            life,
+            incarnation,
             call,
-            asked: self.nodes[node].clock.read(self.now),
-            sent: self.now,
-            awaited: true,
+            requested_at: self.nodes[node].clock.read(self.now),
+            sent_at: self.now,
+            is_awaited: true,
         };
-        let state = self.weather.platform;
-        if state == PlatformState::Away {
-            self.answer(&flight, PlatformReply::Unavailable, MS);
+        let state = self.conditions.platform;
+        if state == PlatformState::Unavailable {
+            self.answer(&pending, PlatformReply::Unavailable, MS);
             return;
         }
-        if state == PlatformState::Hanging || self.nodes[node].cut_from_platform {
-            self.answer(&flight, PlatformReply::Unknown, CALL_TIMEOUT);
+        if state == PlatformState::Hanging || self.nodes[node].is_isolated_from_platform {
+            self.answer(&pending, PlatformReply::Unknown, CALL_TIMEOUT);
             return;
         }
-        let longest = if state == PlatformState::Slow {
+        let max_delay_ms = if state == PlatformState::Slow {
             3_000
         } else {
             4
         };
-        let delay = self.rng.random_range(MS..=longest * MS);
+        let delay = self.rng.random_range(MS..=max_delay_ms * MS);
         if delay >= CALL_TIMEOUT {
-            self.answer(&flight, PlatformReply::Unknown, CALL_TIMEOUT);
-            flight.awaited = false;
+            self.answer(&pending, PlatformReply::Unknown, CALL_TIMEOUT);
+            pending.is_awaited = false;
         }
-        self.enqueue(self.now + delay, Arrival::Call(flight));
+        self.enqueue(self.now + delay, Arrival::Call(pending));
     }
 
-    fn serve(&mut self, flight: &Flight) {
-        let reply = self.platform.serve(self.now, flight.call.op.clone());
-        if self.watch && matches!(reply, PlatformReply::Written(_)) {
+    fn serve(&mut self, pending: &PendingCall) {
+        let reply = self.platform.serve(self.now, pending.call.op.clone());
+        if self.has_watch && matches!(reply, PlatformReply::Written(_)) {
             for node in 0..self.nodes.len() {
-                self.hint(node);
+                self.send_map_hint(node);
             }
         }
-        if !flight.awaited {
+        if !pending.is_awaited {
             return;
         }
-        let rest = (flight.sent + CALL_TIMEOUT).saturating_sub(self.now);
-        let is_lost = self.weather.platform == PlatformState::LosesAnswers && self.chance(50);
-        if is_lost || rest < MS {
-            self.answer(flight, PlatformReply::Unknown, rest);
+        let time_left = (pending.sent_at + CALL_TIMEOUT).saturating_sub(self.now);
+        let is_lost =
+            self.conditions.platform == PlatformState::LosesResponses && self.roll_percent(50);
+        if is_lost || time_left < MS {
+            self.answer(pending, PlatformReply::Unknown, time_left);
             return;
         }
-        self.answer(flight, reply, MS);
+        self.answer(pending, reply, MS);
     }
 
-    /// Tells an instance that the map object changed.
-    pub fn hint(&mut self, node: usize) {
-        let slot = &mut self.nodes[node];
-        let local = slot.clock.read(self.now);
-        let is_reached = !slot.frozen && !slot.cut_from_platform;
-        let Some(life) = slot.life.as_mut().filter(|_| is_reached) else {
+    /// Notifies an instance that the map object changed.
+    pub fn send_map_hint(&mut self, node: usize) {
+        let node_state = &mut self.nodes[node];
+        let local = node_state.clock.read(self.now);
+        let is_reachable = !node_state.is_frozen && !node_state.is_isolated_from_platform;
+        let Some(process) = node_state.process.as_mut().filter(|_| is_reachable) else {
             return;
         };
-        let incarnation = life.incarnation;
+        let incarnation = process.incarnation;
         let mut out = Vec::new();
-        life.membership.map_hint(local, &mut out);
+        process.membership.map_hint(local, &mut out);
         for action in out {
-            self.carry_out(node, incarnation, action);
+            self.perform(node, incarnation, action);
         }
     }
 
-    fn answer(&mut self, flight: &Flight, reply: PlatformReply, delay: u64) {
+    fn answer(&mut self, pending: &PendingCall, reply: PlatformReply, delay: u64) {
         let answer = PlatformAnswer {
-            id: flight.call.id,
-            purpose: flight.call.purpose.clone(),
-            asked: flight.asked,
+            id: pending.call.id,
+            purpose: pending.call.purpose.clone(),
+            asked: pending.requested_at,
             reply,
         };
         let arrival = Arrival::At {
-            node: flight.node,
-            life: Some(flight.life),
+            node: pending.node,
+            incarnation: Some(pending.incarnation),
             input: Input::Answer(answer),
         };
         self.enqueue(self.now + delay, arrival);
     }
 
-    fn chance(&mut self, percent: u8) -> bool {
+    /// Returns true with the given probability in percent.
+    fn roll_percent(&mut self, percent: u8) -> bool {
         percent > 0 && self.rng.random_range(0..100) < percent
     }
 
     pub fn enqueue(&mut self, at: u64, arrival: Arrival) {
-        self.next += 1;
-        self.queue.insert((at, self.next), arrival);
+        self.next_sequence += 1;
+        self.queue.insert((at, self.next_sequence), arrival);
     }
 }
 
-/// Bytes of a heartbeat as bincode writes it with variable-width integers; maps count nothing.
-fn binary_size(message: &PeerMessage) -> u64 {
-    let PeerMessage::Membership(MembershipMessage::Heartbeat(beat)) = message else {
+/// Returns the size of a heartbeat in bincode with variable-width integers; zero for a map.
+fn bincode_size(message: &PeerMessage) -> u64 {
+    let PeerMessage::Membership(MembershipMessage::Heartbeat(heartbeat)) = message else {
         return 0;
     };
     let numbers = [
-        beat.incarnation.0,
-        beat.sequence,
-        beat.map.0,
-        beat.catalogue.0,
-        beat.echo_incarnation.0,
-        beat.echo,
-        beat.retired_below.0,
+        heartbeat.incarnation.0,
+        heartbeat.sequence,
+        heartbeat.map.0,
+        heartbeat.catalogue.0,
+        heartbeat.echo_incarnation.0,
+        heartbeat.echo,
+        heartbeat.retired_below.0,
     ];
-    let names = beat
+    let names = heartbeat
         .unresponsive
         .iter()
         .map(|id| 1 + id.as_str().len() as u64);
--- a/crates/core/tests/support/membership_oracle.rs
+++ b/crates/core/tests/support/membership_oracle.rs
@@ -1,47 +1,51 @@
-//! The oracle: no key has two acting homes.
+//! The test oracle: no key has two acting owners.
 
 use bluebellstage_core::InstanceId;
 
-use super::membership_world::World;
+use super::membership_cluster::Cluster;
 
-impl World {
-    /// The oracle: no key has two acting homes at this moment.
-    pub fn check(&mut self) {
-        self.note_homes();
-        let acting = self.acting();
-        let doubled = acting.iter().position(|homes| homes.len() > 1);
-        let Some(index) = doubled.filter(|_| self.violation.is_none()) else {
+impl Cluster {
+    /// Checks that no key has two acting owners now.
+    pub fn check_single_owner(&mut self) {
+        self.record_owners();
+        let acting_owners = self.acting_owners();
+        let conflict = acting_owners.iter().position(|owners| owners.len() > 1);
+        let Some(index) = conflict.filter(|_| self.violation.is_none()) else {
             return;
         };
-        let (key, homes) = (&self.keys[index], &acting[index]);
-        let violation = format!("two homes of {key} act: {homes:?}\n{}", self.describe());
+        let (key, owners) = (&self.keys[index], &acting_owners[index]);
+        let violation = format!("two owners of {key} act: {owners:?}\n{}", self.describe());
         assert!(!self.is_strict, "{violation}");
         self.violation = Some(violation);
     }
 
-    /// Looks at each moment before `until` at which a home may begin to act by time alone.
-    pub fn check_starts(&mut self, until: u64) {
+    /// Checks the owners at each moment before `until` at which an owner may start to act without
+    /// any input.
+    pub fn check_activations(&mut self, until: u64) {
         let mut starts: Vec<_> = self
             .nodes
             .iter()
             .filter_map(|node| {
-                let own = node.life.as_ref()?.membership.ownership();
-                Some(node.clock.world_time(own.past_retired_at?))
+                let own = node.process.as_ref()?.membership.ownership();
+                Some(node.clock.simulation_time_at(own.past_retired_at?))
             })
             .filter(|at| *at > self.now && *at < until)
             .collect();
         starts.sort_unstable();
         for at in starts {
             self.now = at;
-            self.check();
+            self.check_single_owner();
         }
     }
 
-    fn note_homes(&mut self) {
+    /// Records the owners under each map revision that an instance knows.
+    fn record_owners(&mut self) {
         for node in &self.nodes {
-            let Some(life) = &node.life else { continue };
-            let map = &life.membership.ownership().map;
-            self.homes.entry(map.revision).or_insert_with(|| {
+            let Some(process) = &node.process else {
+                continue;
+            };
+            let map = &process.membership.ownership().map;
+            self.owners.entry(map.revision).or_insert_with(|| {
                 self.keys
                     .iter()
                     .map(|key| map.owner(key).cloned())
@@ -50,24 +54,26 @@
         }
     }
 
-    /// Who acts as home of each key right now.
-    pub fn acting(&self) -> Vec<Vec<InstanceId>> {
-        let mut acting = vec![Vec::new(); self.keys.len()];
+    /// Returns the instances that act as the owner of each key now.
+    pub fn acting_owners(&self) -> Vec<Vec<InstanceId>> {
+        let mut acting_owners = vec![Vec::new(); self.keys.len()];
         for node in &self.nodes {
-            let Some(life) = &node.life else { continue };
-            let own = life.membership.ownership();
+            let Some(process) = &node.process else {
+                continue;
+            };
+            let own = process.membership.ownership();
             let local = node.clock.read(self.now);
-            let Some(homes) = self.homes.get(&own.revision()) else {
+            let Some(owners) = self.owners.get(&own.revision()) else {
                 continue;
             };
-            let leased_until = life.leased_until;
-            for (index, home) in homes.iter().enumerate() {
-                let is_home = home.as_ref() == Some(&node.id);
-                if is_home && (self.rule)(own, local, leased_until, &self.keys[index]) {
-                    acting[index].push(node.id.clone());
+            let platform_lease_until = process.platform_lease_until;
+            for (index, owner) in owners.iter().enumerate() {
+                let is_owner = owner.as_ref() == Some(&node.id);
+                if is_owner && (self.rule)(own, local, platform_lease_until, &self.keys[index]) {
+                    acting_owners[index].push(node.id.clone());
                 }
             }
         }
-        acting
+        acting_owners
     }
 }
--- a/crates/core/tests/support/membership_platform.rs
+++ b/crates/core/tests/support/membership_platform.rs
@@ -1,4 +1,4 @@
-//! A tiny platform in virtual time: one object, consistent reads, a lagging list.
+//! A simulated platform in virtual time: one object, consistent reads and a lagging instance list.
 
 use std::collections::BTreeSet;
 
@@ -6,22 +6,22 @@
     Expected, ListedInstance, MemberRef, ObjectVersion, PlatformOp, PlatformReply, Versioned,
 };
 
-/// How far the list lags, in microseconds.
+/// Lag of the instance list, in microseconds.
 pub const LIST_LAG: u64 = 1_500_000;
 
-/// The platform's state.
+/// A platform that stores the map object.
 #[derive(Debug, Default)]
 pub struct FakePlatform {
     pub object: Option<Versioned>,
     last_version: u64,
-    /// Who ran from which time on.
+    /// The running incarnations from each time on.
     running: Vec<(u64, BTreeSet<MemberRef>)>,
-    /// Calls that took effect.
+    /// Number of calls that were executed.
     pub served: u64,
 }
 
 impl FakePlatform {
-    /// Carries a call out at `now`.
+    /// Executes a call at `now`.
     pub fn serve(&mut self, now: u64, op: PlatformOp) -> PlatformReply {
         self.served += 1;
         match op {
@@ -35,17 +35,17 @@
         }
     }
 
-    /// Notes that a life starts or ends.
-    pub fn note_life(&mut self, now: u64, life: &MemberRef, runs: bool) {
+    /// Records that an incarnation starts or ends.
+    pub fn record_process(&mut self, now: u64, member_ref: &MemberRef, is_running: bool) {
         let mut running = self
             .running
             .last()
             .map(|(_, set)| set.clone())
             .unwrap_or_default();
-        if runs {
-            running.insert(life.clone());
+        if is_running {
+            running.insert(member_ref.clone());
         } else {
-            running.remove(life);
+            running.remove(member_ref);
         }
         self.running.push((now, running));
     }
@@ -65,14 +65,14 @@
     }
 
     fn list(&self, now: u64) -> Vec<ListedInstance> {
-        let seen = now.saturating_sub(LIST_LAG);
-        let shown = self.running.iter().rev().find(|(at, _)| *at <= seen);
-        shown.map_or_else(Vec::new, |(_, lives)| {
-            lives
+        let shown_at = now.saturating_sub(LIST_LAG);
+        let shown = self.running.iter().rev().find(|(at, _)| *at <= shown_at);
+        shown.map_or_else(Vec::new, |(_, member_refs)| {
+            member_refs
                 .iter()
-                .map(|life| ListedInstance {
-                    id: life.id.clone(),
-                    incarnation: life.incarnation,
+                .map(|member_ref| ListedInstance {
+                    id: member_ref.id.clone(),
+                    incarnation: member_ref.incarnation,
                     leaving: false,
                 })
                 .collect()
