--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Membership in simulated clusters: join, leave, takeover, network partitions, frozen processes and
-//! platform outages, one at a time.
+//! Membership in simulated clusters: join, leave, takeover, network partitions, frozen processes
+//! and platform outages, one at a time.
 
 mod support {
     pub mod membership_cluster;
@@ -32,8 +32,8 @@
 }
 
 /// When the owner of a workspace dies, the workspace's requests hang until the other instances
-/// detect that, remove it from the map and take over its keys. A dead owner can't report that it has
-/// stopped, so its successors wait until its lease must have expired.
+/// detect that, remove it from the map and take over its keys. A dead owner can't report that it
+/// has stopped, so its successors wait until its lease must have expired.
 #[test]
 fn a_killed_owner_is_replaced_within_five_seconds() {
     let mut slowest = 0;
@@ -81,8 +81,8 @@
     println!("recovered from a thaw: {took} ms");
 }
 
-/// One instance is partitioned from its peers, but not from the platform. Its reads renew its lease,
-/// and it must not remove the two others as dead.
+/// One instance is partitioned from its peers, but not from the platform. Its reads renew its
+/// lease, and it must not remove the two others as dead.
 #[test]
 fn a_partitioned_minority_removes_no_member() {
     let mut cluster = settled_cluster(3, 5);
--- a/crates/core/tests/membership_fuzz.rs
+++ b/crates/core/tests/membership_fuzz.rs
@@ -137,8 +137,8 @@
 }
 
 /// A process is started twice under one name. The first incarnation was frozen; it thaws, takes the
-/// entry of the second and dies, and all other instances die too. The second incarnation, now alone,
-/// considered itself superseded forever, so no key had an owner.
+/// entry of the second and dies, and all other instances die too. The second incarnation, now
+/// alone, considered itself superseded forever, so no key had an owner.
 #[test]
 fn a_superseded_incarnation_rejoins_after_the_other_died() {
     let plan = Plan {
@@ -180,17 +180,18 @@
 
 /// The owner under the newest map that an instance knows acts.
 const NEWEST_MAP_ONLY: Rule =
-    |own, _now, _platform_lease_until, key| own.is_member() && own.is_owner(key);
+    |ownership, _now, _platform_lease_until, key| ownership.is_member() && ownership.is_owner(key);
 
 /// As above, and the platform responded to a read of the map within the lease duration: a lease in
 /// the platform.
-const PLATFORM_LEASE: Rule = |own, now, platform_lease_until, key| {
-    NEWEST_MAP_ONLY(own, now, now, key) && now < platform_lease_until
+const PLATFORM_LEASE: Rule = |ownership, now, platform_lease_until, key| {
+    NEWEST_MAP_ONLY(ownership, now, now, key) && now < platform_lease_until
 };
 
 /// The owner acts with the lease of this crate, but without waiting for the former owner.
-const QUORUM_LEASE_ONLY: Rule =
-    |own, now, _platform_lease_until, key| own.has_lease(now) && own.is_owner(key);
+const QUORUM_LEASE_ONLY: Rule = |ownership, now, _platform_lease_until, key| {
+    ownership.has_lease(now) && ownership.is_owner(key)
+};
 
 /// Proves that the fuzz tests detect two acting owners: rules with a known flaw must fail in the
 /// fixed cases.
--- a/crates/core/tests/membership_rules.rs
+++ b/crates/core/tests/membership_rules.rs
@@ -31,8 +31,9 @@
     );
 }
 
-/// An instance restarts, and a reply to a heartbeat of its former incarnation arrives late. The reply
-/// reports what the peer knew before the restart and must not confirm a lease of the new incarnation.
+/// An instance restarts, and a reply to a heartbeat of its former incarnation arrives late. The
+/// reply reports what the peer knew before the restart and must not confirm a lease of the new
+/// incarnation.
 #[test]
 fn an_echo_of_a_former_incarnation_confirms_nothing() {
     let mut harness = Harness::adopted(map(5, &["a", "b", "c"]));
@@ -161,8 +162,8 @@
     );
 }
 
-/// All three instances were restarted at once, and the list shows only the new incarnations. The old
-/// ones were never seen in the list, but their successors are in it.
+/// All three instances were restarted at once, and the list shows only the new incarnations. The
+/// old ones were never seen in the list, but their successors are in it.
 #[test]
 fn an_incarnation_whose_successor_is_listed_is_gone() {
     let mut past = map(5, &["a", "b", "c"]);
@@ -203,7 +204,8 @@
 }
 
 /// The process was started twice under one name, and the first incarnation is frozen. It may still
-/// have a lease when it thaws, so the second incarnation waits for it as for any other former owner.
+/// have a lease when it thaws, so the second incarnation waits for it as for any other former
+/// owner.
 #[test]
 fn a_former_incarnation_of_the_same_instance_must_have_stopped_too() {
     let key = key_owned_by("a", &["a", "b"]);
@@ -283,8 +285,8 @@
     "#);
 }
 
-/// The stored map and the dump are read by other releases and by tools, so the serialised names must
-/// not follow the names of the fields.
+/// The stored map and the dump are read by other releases and by tools, so the serialised names
+/// must not follow the names of the fields.
 #[test]
 fn serialised_names_of_ownership_and_map_are_stable() {
     let mut ownership = Ownership::new(member_ref("a"), map(5, &["a", "b"]));
--- a/crates/core/tests/support/membership_cluster.rs
+++ b/crates/core/tests/support/membership_cluster.rs
@@ -32,7 +32,8 @@
     pub started_at: u64,
     /// When a planned stop began.
     pub stopping_since: Option<u64>,
-    /// One lease duration after the platform's latest response to a read; only a naive rule uses it.
+    /// One lease duration after the platform's latest response to a read; only a naive rule uses
+    /// it.
     pub platform_lease_until: Time,
 }
 
@@ -120,7 +121,7 @@
             traffic: vec![Traffic::default(); count],
             count_bytes: false,
             has_watch: true,
-            rule: |own, now, _platform_lease_until, key| own.may_act(now, key),
+            rule: |ownership, now, _platform_lease_until, key| ownership.may_act(now, key),
             is_strict: true,
             violation: None,
             cfg,
@@ -312,14 +313,14 @@
     fn all_active(&self) -> bool {
         self.nodes.iter().take(self.count).all(|node| {
             node.process.as_ref().is_none_or(|process| {
-                let own = process.membership.ownership();
+                let ownership = process.membership.ownership();
                 process.stopping_since.is_none()
-                    && own.is_member()
-                    && own
+                    && ownership.is_member()
+                    && ownership
                         .map
                         .member(&node.id)
-                        .is_some_and(|member| member.state == MemberState::Active)
-                    && own.has_lease(node.clock.read(self.now))
+                        .is_some_and(|entry| entry.state == MemberState::Active)
+                    && ownership.has_lease(node.clock.read(self.now))
             })
         })
     }
@@ -343,9 +344,9 @@
             let line = match &node.process {
                 None => format!("\n{}: not running", node.id),
                 Some(process) => {
-                    let own = process.membership.ownership();
-                    let past: Vec<_> = own.map.history.iter().map(|p| p.revision.0).collect();
-                    let members: Vec<_> = own
+                    let ownership = process.membership.ownership();
+                    let past: Vec<_> = ownership.map.history.iter().map(|p| p.revision.0).collect();
+                    let members: Vec<_> = ownership
                         .map
                         .members
                         .iter()
@@ -356,9 +357,10 @@
                         node.id,
                         process.incarnation.0,
                         if node.is_frozen { " frozen" } else { "" },
-                        own.revision(),
-                        own.has_lease(node.clock.read(self.now)),
-                        own.adopted
+                        ownership.revision(),
+                        ownership.has_lease(node.clock.read(self.now)),
+                        ownership
+                            .adopted
                             .iter()
                             .map(|a| format!("{}:{}", a.member_ref, a.map))
                             .collect::<Vec<_>>(),
--- a/crates/core/tests/support/membership_harness.rs
+++ b/crates/core/tests/support/membership_harness.rs
@@ -27,9 +27,9 @@
     /// Creates an incarnation that has just started.
     pub fn fresh() -> Self {
         let now = Time::from_millis(1_000_000);
-        let me = member("a", MemberState::Joining);
+        let local = member("a", MemberState::Joining);
         let mut harness = Self {
-            membership: Membership::new(&Tuning::default(), me, now),
+            membership: Membership::new(&Tuning::default(), local, now),
             now,
             out: Vec::new(),
         };
@@ -212,12 +212,12 @@
 
 /// Returns a key whose owner is `id` among `ids`.
 pub fn key_owned_by(id: &str, ids: &[&str]) -> OwnershipKey {
-    let map = map(1, ids);
+    let candidates_map = map(1, ids);
     let mut keys = (0..100).map(|index| {
         let name = format!("w{index}");
         OwnershipKey::Workspace(WorkspaceId::try_from(name.as_str()).expect("a legal name"))
     });
     let wanted = instance(id);
-    keys.find(|key| map.owner(key) == Some(&wanted))
+    keys.find(|key| candidates_map.owner(key) == Some(&wanted))
         .expect("each instance owns some keys")
 }
--- a/crates/core/tests/support/membership_oracle.rs
+++ b/crates/core/tests/support/membership_oracle.rs
@@ -26,8 +26,8 @@
             .nodes
             .iter()
             .filter_map(|node| {
-                let own = node.process.as_ref()?.membership.ownership();
-                Some(node.clock.simulation_time_at(own.past_retired_at?))
+                let ownership = node.process.as_ref()?.membership.ownership();
+                Some(node.clock.simulation_time_at(ownership.past_retired_at?))
             })
             .filter(|at| *at > self.now && *at < until)
             .collect();
@@ -61,15 +61,17 @@
             let Some(process) = &node.process else {
                 continue;
             };
-            let own = process.membership.ownership();
+            let ownership = process.membership.ownership();
             let local = node.clock.read(self.now);
-            let Some(owners) = self.owners.get(&own.revision()) else {
+            let Some(owners) = self.owners.get(&ownership.revision()) else {
                 continue;
             };
             let platform_lease_until = process.platform_lease_until;
             for (index, owner) in owners.iter().enumerate() {
                 let is_owner = owner.as_ref() == Some(&node.id);
-                if is_owner && (self.rule)(own, local, platform_lease_until, &self.keys[index]) {
+                if is_owner
+                    && (self.rule)(ownership, local, platform_lease_until, &self.keys[index])
+                {
                     acting_owners[index].push(node.id.clone());
                 }
             }
