--- a/crates/core/src/engines/candidates.rs
+++ b/crates/core/src/engines/candidates.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{AdapterRef, BaseModel, GroupId, HomeKey, Ownership, Placement, Time};
+use crate::{AdapterRef, BaseModel, GroupId, Ownership, OwnershipKey, Placement, Time};
 
 use super::targets::{ListedGroup, Targets};
 use super::view::GroupView;
@@ -126,11 +126,11 @@
     }
 
     fn is_owner_unresponsive(&self, id: &GroupId) -> bool {
-        if self.ownership.silent.is_empty() {
+        if self.ownership.unresponsive.is_empty() {
             return false;
         }
-        let owner = self.ownership.home(&HomeKey::Group(id.clone()));
-        owner.is_some_and(|owner| self.ownership.silent.contains(owner))
+        let owner = self.ownership.owner(&OwnershipKey::Group(id.clone()));
+        owner.is_some_and(|owner| self.ownership.unresponsive.contains(owner))
     }
 
     /// Returns a group that holds the adapter, else the first group in rendezvous order with a free
--- a/crates/core/src/engines/client.rs
+++ b/crates/core/src/engines/client.rs
@@ -6,8 +6,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    AdapterRef, GroupId, HomeKey, InstanceId, Refusal, RefusalKind, RequestId, Revision, TargetId,
-    Time,
+    AdapterRef, GroupId, InstanceId, OwnershipKey, Refusal, RefusalKind, RequestId, Revision,
+    TargetId, Time,
 };
 
 use super::candidates::{Candidates, Choice};
@@ -165,7 +165,10 @@
             &request.adapter,
             self.random_state,
         )?;
-        let owner = io.cx.own.home(&HomeKey::Group(choice.group.clone()))?;
+        let owner = io
+            .cx
+            .own
+            .owner(&OwnershipKey::Group(choice.group.clone()))?;
         Some((choice, owner.clone()))
     }
 
@@ -235,7 +238,12 @@
                 continue;
             }
             end.send_at = now + RESPONSE_TIMEOUT;
-            let Some(owner) = io.cx.own.home(&HomeKey::Group(group.clone())).cloned() else {
+            let Some(owner) = io
+                .cx
+                .own
+                .owner(&OwnershipKey::Group(group.clone()))
+                .cloned()
+            else {
                 continue;
             };
             let message = EnginesMessage::PermitEnded {
@@ -308,7 +316,7 @@
             .filter(|(_, pending)| match &pending.stage {
                 Stage::Unrouted { .. } => false,
                 Stage::Sent { group, owner, .. } | Stage::Queued { group, owner, .. } => {
-                    io.cx.own.home(&HomeKey::Group(group.clone())) != Some(owner)
+                    io.cx.own.owner(&OwnershipKey::Group(group.clone())) != Some(owner)
                 }
             })
             .map(|(number, _)| *number)
--- a/crates/core/src/engines/client_permits.rs
+++ b/crates/core/src/engines/client_permits.rs
@@ -1,6 +1,6 @@
 //! Accepting granted permits and reporting the permits held.
 
-use crate::{GroupId, HomeKey, InstanceId, Revision};
+use crate::{GroupId, InstanceId, OwnershipKey, Revision};
 
 use super::client::{ActivePermit, PendingRequest, PermitClient};
 use super::io::Io;
@@ -32,7 +32,7 @@
             return;
         };
         let now = io.now();
-        let send_before = (now + io.cfg.permit_start).min(io.cx.own.standing_until);
+        let send_before = (now + io.cfg.permit_start).min(io.cx.own.lease_expires_at);
         let adapter = pending.request.adapter;
         let request = pending.request.request;
         self.views
@@ -69,14 +69,14 @@
         grant: &Grant,
     ) -> Option<PendingRequest> {
         let ownership = io.cx.own;
-        let key = HomeKey::Group(grant.group.clone());
+        let key = OwnershipKey::Group(grant.group.clone());
         let min_revision = self
             .min_revisions
             .get(&grant.group)
             .copied()
             .unwrap_or_default();
-        let is_valid = ownership.has_standing(io.now())
-            && ownership.home(&key) == Some(from)
+        let is_valid = ownership.has_lease(io.now())
+            && ownership.owner(&key) == Some(from)
             && grant.permit.revision >= min_revision;
         if !is_valid {
             return None;
--- a/crates/core/src/engines/core.rs
+++ b/crates/core/src/engines/core.rs
@@ -5,7 +5,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    Cx, GroupId, HomeKey, InstanceId, MemberRef, OrderId, OrderOutcome, RequestId, TargetId,
+    Cx, GroupId, InstanceId, MemberRef, OrderId, OrderOutcome, OwnershipKey, RequestId, TargetId,
     TargetInfo, Tuning,
 };
 
@@ -175,7 +175,7 @@
         let mut decisions = std::mem::take(&mut self.undelivered_decisions);
         let cfg = self.cfg.clone();
         let mut next_order_id = self.next_order_id;
-        let local_id = cx.own.me.id.clone();
+        let local_id = cx.own.local.id.clone();
         let mut io = Io {
             cx,
             cfg: &cfg,
@@ -197,7 +197,7 @@
         let ownership = io.cx.own;
         self.targets = Targets::new(&self.listed_targets, ownership.map.terms.grouping);
         for id in self.targets.groups.keys() {
-            let is_owner = ownership.is_home(&HomeKey::Group(id.clone()));
+            let is_owner = ownership.is_owner(&OwnershipKey::Group(id.clone()));
             if is_owner && !self.group_owners.contains_key(id) {
                 let seed = self.seed ^ xxh3_64(id.as_str().as_bytes());
                 let owner = GroupOwner::new(id.clone(), io.cfg, ownership.revision(), seed);
@@ -207,7 +207,7 @@
         for (id, owner) in &mut self.group_owners {
             owner.set_engines(self.targets.groups.get(id), io.now());
         }
-        if self.store_owner.is_none() && ownership.is_home(&HomeKey::WeightStore) {
+        if self.store_owner.is_none() && ownership.is_owner(&OwnershipKey::WeightStore) {
             self.store_owner = Some(StoreOwner::new(ownership.revision()));
         }
     }
--- a/crates/core/src/engines/fallback_loads.rs
+++ b/crates/core/src/engines/fallback_loads.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{HomeKey, Time};
+use crate::{OwnershipKey, Time};
 
 use super::PermitId;
 use super::io::Io;
@@ -33,8 +33,8 @@
     /// which are retried later.
     pub(super) fn load_without_permit(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        let owner = io.cx.own.home(&HomeKey::WeightStore);
-        let is_unresponsive = owner.is_some_and(|owner| io.cx.own.silent.contains(owner));
+        let owner = io.cx.own.owner(&OwnershipKey::WeightStore);
+        let is_unresponsive = owner.is_some_and(|owner| io.cx.own.unresponsive.contains(owner));
         let state = &mut self.loading.fallback;
         if !is_unresponsive {
             state.unresponsive_since = None;
--- a/crates/core/src/engines/io.rs
+++ b/crates/core/src/engines/io.rs
@@ -27,12 +27,12 @@
     }
 
     pub(super) const fn local_member(&self) -> &MemberRef {
-        &self.cx.own.me
+        &self.cx.own.local
     }
 
     /// Sends a message; one to the local instance is handled in the same step.
     pub(super) fn send(&mut self, to: &InstanceId, message: EnginesMessage) {
-        if *to == self.cx.own.me.id {
+        if *to == self.cx.own.local.id {
             self.local_messages.push_back(message);
             return;
         }
@@ -50,7 +50,7 @@
             target: engine.id.clone(),
             address: engine.address,
             fencing: self.cx.own.fencing(),
-            send_before: self.cx.own.standing_until,
+            send_before: self.cx.own.lease_expires_at,
             kind,
         }));
         id
--- a/crates/core/src/engines/owner.rs
+++ b/crates/core/src/engines/owner.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::{
-    AdapterRef, GroupId, HomeKey, InstanceId, MemberRef, OrderId, Placement, Refusal, RefusalKind,
-    Revision, TargetId, Time, Tuning,
+    AdapterRef, GroupId, InstanceId, MemberRef, OrderId, OwnershipKey, Placement, Refusal,
+    RefusalKind, Revision, TargetId, Time, Tuning,
 };
 
 use super::engine::{Availability, Engine};
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub(super) struct GroupOwner {
     pub(super) id: GroupId,
-    pub(super) key: HomeKey,
+    pub(super) key: OwnershipKey,
     pub(super) engines: BTreeMap<TargetId, Engine>,
     pub(super) queue: Queue,
     pub(super) permits: BTreeMap<PermitId, OutstandingPermit>,
@@ -87,7 +87,7 @@
 impl GroupOwner {
     pub(super) fn new(id: GroupId, cfg: &Tuning, revision: Revision, seed: u64) -> Self {
         Self {
-            key: HomeKey::Group(id.clone()),
+            key: OwnershipKey::Group(id.clone()),
             id,
             engines: BTreeMap::new(),
             queue: Queue::new(cfg.queue),
@@ -145,7 +145,7 @@
             return;
         }
         let number = enqueue.number;
-        if !io.cx.own.acts(now, &self.key) {
+        if !io.cx.own.may_act(now, &self.key) {
             self.reject(io, from, number, RefusalKind::NoStanding);
             return;
         }
@@ -312,7 +312,7 @@
     /// Does all work that is due.
     pub(super) fn advance(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        if !io.cx.own.acts(now, &self.key) {
+        if !io.cx.own.may_act(now, &self.key) {
             return;
         }
         self.continue_takeover(io);
--- a/crates/core/src/engines/store_owner.rs
+++ b/crates/core/src/engines/store_owner.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::{GroupId, HomeKey, InstanceId, Ownership, Revision, Time};
+use crate::{GroupId, InstanceId, Ownership, OwnershipKey, Revision, Time};
 
 use super::io::Io;
 use super::message::LoadDemand;
@@ -58,7 +58,7 @@
     /// between.
     pub(super) fn has_kept_ownership(&mut self, ownership: &Ownership) -> bool {
         let since = std::mem::replace(&mut self.revision, ownership.revision());
-        was_owner_throughout(ownership, &HomeKey::WeightStore, since)
+        was_owner_throughout(ownership, &OwnershipKey::WeightStore, since)
     }
 
     pub(super) fn record_demand(&mut self, io: &Io<'_, '_>, from: &InstanceId, demand: LoadDemand) {
@@ -93,7 +93,7 @@
     /// Grants the load permits that the limits allow now.
     pub(super) fn advance(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        if !io.cx.own.acts(now, &HomeKey::WeightStore) {
+        if !io.cx.own.may_act(now, &OwnershipKey::WeightStore) {
             return;
         }
         let started_at = *self.started_at.get_or_insert(now);
--- a/crates/core/src/engines/summary.rs
+++ b/crates/core/src/engines/summary.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{AdapterRef, GroupId, HomeKey, InstanceId, Ownership, TargetId};
+use crate::{AdapterRef, GroupId, InstanceId, Ownership, OwnershipKey, TargetId};
 
 use super::Engines;
 use super::engine::{Availability, Engine};
@@ -57,7 +57,7 @@
         let groups = self.targets.groups.keys();
         let summary = |id: &GroupId| GroupSummary {
             id: id.clone(),
-            owner: ownership.home(&HomeKey::Group(id.clone())).cloned(),
+            owner: ownership.owner(&OwnershipKey::Group(id.clone())).cloned(),
             schedule: self.group_owners.get(id).map(GroupSchedule::from),
         };
         groups.map(summary).collect()
--- a/crates/core/src/engines/takeover.rs
+++ b/crates/core/src/engines/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{HomeKey, MemberRef, Ownership, Revision, Time};
+use crate::{MemberRef, Ownership, OwnershipKey, Revision, Time};
 
 use super::PermitId;
 use super::timing::{MAX_DELIVERY_DELAY, MAX_REPORT_AGE};
@@ -94,15 +94,19 @@
 ///
 /// Guards against an instance that was suspended while it was removed from the map and added again:
 /// its state of permits and slots is no longer valid.
-pub(super) fn was_owner_throughout(ownership: &Ownership, key: &HomeKey, since: Revision) -> bool {
+pub(super) fn was_owner_throughout(
+    ownership: &Ownership,
+    key: &OwnershipKey,
+    since: Revision,
+) -> bool {
     let mut between = (since.0 + 1)..ownership.revision().0;
-    ownership.is_home(key)
+    ownership.is_owner(key)
         && ownership.is_member()
         && between.all(|revision| {
             ownership.map.history.iter().any(|past| {
                 past.revision.0 == revision
-                    && past.home(key) == Some(&ownership.me.id)
-                    && past.members.contains(&ownership.me)
+                    && past.owner(key) == Some(&ownership.local.id)
+                    && past.members.contains(&ownership.local)
             })
         })
 }
--- a/crates/core/tests/engines_guards.rs
+++ b/crates/core/tests/engines_guards.rs
@@ -117,7 +117,7 @@
     let mut harness = Lone::home(&CHECKS_FENCING);
     harness.remember_map();
     harness.own.past_retired_at = Some(harness.now + Duration::from_secs(2));
-    harness.own.map.history[0].active = vec![harness.own.me.id.clone()];
+    harness.own.map.history[0].active = vec![harness.own.local.id.clone()];
     harness.pass(50);
     harness.answer(&both_adapters());
     harness.holding("b", Vec::new());
@@ -182,7 +182,7 @@
 #[test]
 fn owner_without_a_lease_does_nothing() {
     let mut harness = running_owner(&CHECKS_FENCING);
-    harness.own.standing_until = harness.now;
+    harness.own.lease_expires_at = harness.now;
     harness.orders.clear();
     harness.asked("b", 1, ask(1));
     harness.asked("b", 2, ask(3));
@@ -267,12 +267,12 @@
 fn permit_is_used_only_while_the_lease_holds() {
     let mut harness = Lone::entry(&CHECKS_FENCING);
     harness.step(|core, cx| core.request_permit(cx, ask(1)));
-    harness.own.standing_until = harness.now + Duration::from_millis(300);
+    harness.own.lease_expires_at = harness.now + Duration::from_millis(300);
     harness.hear("b", grant(0, permit(5, 1)));
     let outcome = harness.decisions.remove(0).outcome;
-    assert_eq!(outcome.unwrap().send_before, harness.own.standing_until);
+    assert_eq!(outcome.unwrap().send_before, harness.own.lease_expires_at);
     harness.step(|core, cx| core.request_permit(cx, ask(1)));
-    harness.own.standing_until = harness.now;
+    harness.own.lease_expires_at = harness.now;
     harness.hear("b", grant(1, permit(5, 2)));
     assert!(harness.decisions.is_empty());
     assert_eq!(harness.ended(permit(5, 2)), 1);
@@ -380,8 +380,10 @@
         let mut harness = Lone::entry(&CHECKS_FENCING);
         let members = &mut harness.own.map.members;
         members[0].state = bluebellstage_core::MemberState::Active;
-        while harness.own.home(&bluebellstage_core::HomeKey::WeightStore)
-            == Some(&harness.own.me.id)
+        while harness
+            .own
+            .owner(&bluebellstage_core::OwnershipKey::WeightStore)
+            == Some(&harness.own.local.id)
             || !harness.acts()
         {
             rename_second_member(&mut harness);
