--- a/crates/cli/src/commands/instance.rs
+++ b/crates/cli/src/commands/instance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bluebellstage_gateway::decide::dump::{
-    Dump, PeerDump, QuotaDump, Stage, StoreLink, StoreWaitDump, SuspectDump, TargetDump,
+    Dump, PeerDump, QuotaDump, Stage, StoreCallDump, StoreLink, SuspectDump, TargetDump,
 };
 use bluebellstage_gateway::decide::health::Standing;
 use bluebellstage_gateway::decide::quarantine::Fingerprint;
@@ -136,7 +136,7 @@
 fn write_news(out: &mut String, dump: &Dump) -> std::fmt::Result {
     let how = match (&dump.news_from, dump.role) {
         (Some(relay), _) => format!("from {relay}"),
-        (None, Role::Asks) => "told by each".into(),
+        (None, Role::Subscriber) => "told by each".into(),
         (None, role) => format!("{} for {} others", role.name(), dump.readers),
     };
     writeln!(
@@ -146,7 +146,7 @@
     )
 }
 
-fn write_store_wait(out: &mut String, wait: &StoreWaitDump) -> std::fmt::Result {
+fn write_store_wait(out: &mut String, wait: &StoreCallDump) -> std::fmt::Result {
     let open = wait
         .open_ms
         .map_or_else(|| "not asked".into(), |open| format!("asked {open} ms ago"));
--- a/crates/gateway/src/decide/adapter_choice.rs
+++ b/crates/gateway/src/decide/adapter_choice.rs
@@ -76,7 +76,7 @@
         let id = &candidate.target.id;
         let version = known.residency.version(id, self.key, known.now)?;
         let wait = candidate.wait.max(candidate.longest_wait);
-        let usable = known.versions.may_begin(self.key, version, wait, known.now);
+        let usable = known.versions.may_start(self.key, version, wait, known.now);
         usable.then_some(version)
     }
 
--- a/crates/gateway/src/decide/dump.rs
+++ b/crates/gateway/src/decide/dump.rs
@@ -27,7 +27,7 @@
     /// How it learns what the store tells.
     pub store: StoreLink,
     /// Its calls to the store, by kind of objects.
-    pub store_waits: Vec<StoreWaitDump>,
+    pub store_waits: Vec<StoreCallDump>,
     /// What it does for the news of others.
     pub role: Role,
     /// The relay that it asks for news.
@@ -82,7 +82,7 @@
 
 /// The calls to the store about one kind of objects.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct StoreWaitDump {
+pub struct StoreCallDump {
     /// The kind.
     pub kind: Kind,
     /// Milliseconds since the open call was made; none: no call is open.
@@ -165,19 +165,19 @@
     #[must_use]
     pub fn dump(&self, now: Time) -> Dump {
         Dump {
-            instance: self.me.name.clone(),
-            failure_domain: self.me.failure_domain.clone(),
+            instance: self.local.name.clone(),
+            failure_domain: self.local.failure_domain.clone(),
             stage: self.stage(),
             store: self.store_link(now),
-            store_waits: self.dump_store_waits(now),
+            store_waits: self.dump_store_calls(now),
             role: self.exchange.role(),
-            news_from: self.exchange.source().cloned(),
-            news_age_ms: millis(self.news_age(now)),
-            readers: self.exchange.readers(),
+            news_from: self.exchange.upstream().cloned(),
+            news_age_ms: millis(self.update_age(now)),
+            readers: self.exchange.subscriber_count(),
             config: self.routes.version(),
             targets_revision: self.registry.revision(),
             shards: self.shards.clone(),
-            loads: self.loads.under_way,
+            loads: self.loads.active,
             targets: self.dump_targets(now),
             peers: self.dump_peers(now),
             quotas: self.quotas.dump(),
@@ -195,7 +195,7 @@
     }
 
     fn store_link(&self, now: Time) -> StoreLink {
-        if !self.registry.store_answers(now) {
+        if !self.registry.is_store_reachable(now) {
             StoreLink::Away
         } else if self.follows_store(now) {
             StoreLink::Followed
@@ -204,12 +204,12 @@
         }
     }
 
-    fn dump_store_waits(&self, now: Time) -> Vec<StoreWaitDump> {
+    fn dump_store_calls(&self, now: Time) -> Vec<StoreCallDump> {
         let ago = |when: Option<Time>| when.map(|when| millis(now.since(when)));
-        let dumped = self.store_waits.all().map(|(kind, wait)| StoreWaitDump {
+        let dumped = self.store_calls.all().map(|(kind, call)| StoreCallDump {
             kind,
-            open_ms: ago(wait.asked),
-            answered_ms: ago(wait.answered),
+            open_ms: ago(call.open_since),
+            answered_ms: ago(call.last_response),
         });
         dumped.collect()
     }
@@ -223,7 +223,7 @@
                 leaving: target.leaving,
                 limit: self.limits.of(&target.id),
                 standing: self.health.standing(&target.id, now),
-                in_flight: self.own_in_flight(&target.id) + others,
+                in_flight: self.local_in_flight(&target.id) + others,
                 slots: target.slots,
                 adapters: self.residency.count(&target.id),
             }
@@ -255,9 +255,9 @@
     fn dump_peers(&self, now: Time) -> Vec<PeerDump> {
         let dumped = self.peers.all().map(|peer| PeerDump {
             name: peer.member.name.clone(),
-            silent_ms: peer.heard.map(|heard| millis(now.since(heard))),
+            silent_ms: peer.last_seen.map(|heard| millis(now.since(heard))),
             ready: peer.ready,
-            store_answers: peer.store_answers,
+            store_answers: peer.store_reachable,
             config: peer.config,
         });
         dumped.collect()
--- a/crates/gateway/src/decide/exchange/message.rs
+++ b/crates/gateway/src/decide/exchange/message.rs
@@ -1,82 +1,85 @@
-//! What instances tell each other, and whom.
+//! Messages that instances exchange about their state.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
 use crate::decide::limits::LimitWord;
-use crate::decide::news::{News, Roster};
 use crate::decide::peers::Member;
+use crate::decide::relay_update::{RelayUpdate, Roster};
 use crate::decide::rendezvous::ShortHash;
 use crate::decide::status::Status;
 
 /// A datagram of the exchange.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Message {
-    /// How the sender is.
-    Own {
-        /// Its state.
+    /// State of the sender.
+    Status {
+        /// The state.
         status: Box<Status>,
-        /// What it asks the receiver for.
-        asks: Asks,
+        /// Updates that the sender requests from the receiver.
+        update_request: UpdateRequest,
     },
-    /// How instances of the sender's failure domain are, from one relay to another.
+    /// States of instances in the sender's failure domain, from one relay to another.
     Statuses(Vec<Status>),
-    /// News for an instance that asked.
-    News(Box<News>),
-    /// The order of instances that news go by is not known.
-    RosterWanted,
-    /// The order of instances that the sender's news go by.
+    /// An update for a subscriber.
+    Update(Box<RelayUpdate>),
+    /// Requests the relay's roster, because the receiver of an update does not have it.
+    RosterRequest,
+    /// The roster to which the sender's updates refer.
     Roster(Roster),
-    /// What targets said of their limits.
+    /// Limits that targets reported.
     Limits(Vec<LimitWord>),
-    /// Who an instance is.
-    Introduction(Box<Member>),
-    /// A status came from somebody unknown: who is it?
-    WhoIsThere,
-    /// The receiver told of these: who are they?
-    WhoAre(Vec<ShortHash>),
+    /// Registration of an instance.
+    MemberInfo(Box<Member>),
+    /// Requests the sender's registration, after a message from an unknown instance.
+    SenderInfoRequest,
+    /// Requests the registrations of instances that the receiver mentioned.
+    MemberInfoRequest(Vec<ShortHash>),
 }
 
 impl Message {
-    /// A short name, for metrics.
+    /// Label of the message in metrics.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
-            Self::Own { .. } => "own",
+            Self::Status { .. } => "own",
             Self::Statuses(_) => "statuses",
-            Self::News(_) => "news",
+            Self::Update(_) => "news",
             Self::Limits(_) => "limits",
-            Self::RosterWanted | Self::Roster(_) => "roster",
-            Self::Introduction(_) | Self::WhoIsThere | Self::WhoAre(_) => "introduction",
+            Self::RosterRequest | Self::Roster(_) => "roster",
+            Self::MemberInfo(_) | Self::SenderInfoRequest | Self::MemberInfoRequest(_) => {
+                "introduction"
+            }
         }
     }
 }
 
-/// What an instance asks another one for.
+/// What an instance requests from the receiver of its status.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum Asks {
-    /// Nothing.
-    Nothing,
-    /// News.
-    News,
-    /// News with all counts, also of what did not change lately: it has none to compare with.
-    AllNews,
+pub enum UpdateRequest {
+    /// No updates.
+    None,
+    /// Updates with the counts that changed recently.
+    Changes,
+    /// Updates with all counts, including unchanged ones, for a new subscriber that has none to
+    /// compare with.
+    Full,
 }
 
-/// A message and whom it goes to.
+/// A message and its recipients.
 #[derive(Clone, Debug)]
-pub struct Telling {
-    /// Addresses of the receivers.
+pub struct OutgoingMessage {
+    /// Addresses of the recipients.
     pub to: Vec<SocketAddr>,
-    /// What is told.
+    /// The message.
     pub message: Message,
 }
 
-/// A status with a question.
-pub(super) fn own(status: Status, asks: Asks) -> Message {
-    Message::Own {
+/// Wraps a status and a request for updates in a message.
+pub(super) fn status_message(status: Status, update_request: UpdateRequest) -> Message {
+    Message::Status {
         status: Box::new(status),
-        asks,
+        update_request,
     }
 }
--- a/crates/gateway/src/decide/exchange/mod.rs
+++ b/crates/gateway/src/decide/exchange/mod.rs
@@ -1,17 +1,18 @@
-//! Tells other instances how this one is, and takes in what they tell.
+//! Exchanges the state of instances within the fleet.
 //!
-//! A small fleet tells each other everything directly. In a large one that would cost the square of its
-//! size, so two relays in each failure domain pass news on: single statuses among each other, sums to the
-//! instances that asked them. A status is known by its sender's life and count, so it may come twice or
-//! late; a sum is made anew for each receiver, without the receiver's own part.
+//! In a small fleet each instance sends its status directly to all others. In a large fleet the
+//! cost of this would grow with the square of its size, so two relays in each failure domain
+//! forward updates: single statuses to other relays, and sums to the instances that subscribed to
+//! them. A status is identified by its sender's incarnation and sequence number, so it may arrive
+//! twice or late. A sum is computed for each receiver, without the receiver's own part.
 
 mod limits;
 mod message;
-mod news_for;
-mod places;
-mod source;
-mod take;
-mod tell;
+mod receive;
+mod relays;
+mod send;
+mod updates;
+mod upstream;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,240 +20,244 @@
 
 use bluebellstage_core::{InstanceId, Time};
 
-use self::message::own;
-pub use self::message::{Asks, Message, Telling};
-use self::source::Source;
-use super::news::Roster;
-use super::peers::{GONE_AFTER, Peer};
+use self::message::status_message;
+pub use self::message::{Message, OutgoingMessage, UpdateRequest};
+use self::upstream::Upstream;
+use super::peers::{GONE_THRESHOLD, Peer};
+use super::relay_update::Roster;
 use super::rendezvous::ShortHash;
 use super::status::{Role, Status};
 use super::tables::Tables;
 
-/// Pause between rounds.
-pub const ROUND: Duration = Duration::from_millis(100);
-/// Instances up to which each tells all others directly.
-pub const DIRECT_FLEET: usize = 16;
-/// Age of spending that is still told, so that a lost datagram is made up for.
-const NEWS_LASTS: Duration = Duration::from_millis(1_500);
-/// Time for which a new relay listens until it has heard everyone and tells news.
-const LISTENS: Duration = Duration::from_millis(300);
-/// Time between two rounds from which the instance may have been suspended: what it knows is old.
-const BREAK: Duration = Duration::from_millis(350);
-/// Time for which an instance must have run without a break before it takes a place as a relay.
-const WARM: Duration = Duration::from_millis(300);
-/// Rounds between two full ones: who lives and who holds leases is told in these, a relay makes itself known
-/// to its whole failure domain, and an instance that hears no relay tells all.
-const FULL_EVERY: u32 = 3;
+/// Interval between rounds.
+pub const ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum size of a fleet in which each instance sends its status to all others directly.
+pub const MAX_DIRECT_FLEET: usize = 16;
+/// Age up to which changes of spending are repeated, to make up for lost datagrams.
+const SPENDING_TTL: Duration = Duration::from_millis(1_500);
+/// Time for which a new relay only listens, until it has received a status of every instance.
+const LISTEN_PERIOD: Duration = Duration::from_millis(300);
+/// Gap between two rounds from which the instance may have been suspended, and its state may be
+/// stale.
+const MAX_ROUND_GAP: Duration = Duration::from_millis(350);
+/// Time for which an instance must have run without such a gap before it takes a relay slot.
+const RELAY_WARMUP: Duration = Duration::from_millis(300);
+/// Rounds from one full round to the next. A full round also carries liveness and the holders of leases, a relay
+/// sends its status to its whole failure domain, and an instance without a relay sends its status
+/// to all.
+const FULL_ROUND_INTERVAL: u32 = 3;
 
-/// What an instance keeps of its exchange with others.
+/// State of the exchange with other instances.
 #[derive(Debug, Default)]
 pub struct Exchange {
     seq: u32,
     rounds: u32,
-    /// It has told all instances once.
-    told_all: bool,
-    /// The last round, and since when rounds follow each other without a break.
+    /// Whether a status has been sent to all instances at least once.
+    has_sent_to_all: bool,
     last_round: Option<Time>,
-    unbroken_since: Time,
-    /// Since when too few others relay in the own failure domain.
+    continuous_since: Time,
+    /// Since when the failure domain has had too few other relays.
     vacant_since: Option<Time>,
-    /// Since when it has a place as a relay.
-    place_since: Option<Time>,
+    /// Since when this instance has held a relay slot.
+    slot_since: Option<Time>,
     role: Role,
-    /// Statuses from those that asked, for the other relays.
+    /// Statuses from subscribers, to be forwarded to the other relays.
     pending: BTreeMap<InstanceId, (Status, Time)>,
-    readers: BTreeMap<InstanceId, Reader>,
-    source: Option<Source>,
+    subscribers: BTreeMap<InstanceId, Subscriber>,
+    upstream: Option<Upstream>,
     roster: Roster,
     roster_digest: u64,
-    /// Mean age of what all others told.
+    /// Mean age of the statuses of all peers.
     lag: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Reader {
-    asked: Time,
-    all: bool,
+struct Subscriber {
+    requested_at: Time,
+    wants_all: bool,
 }
 
 impl Exchange {
-    /// What this instance does for the news of others.
+    /// Current part of this instance in relaying updates.
     #[must_use]
     pub const fn role(&self) -> Role {
         self.role
     }
 
-    /// The relay that this instance asks.
+    /// The upstream relay, from which this instance requests updates.
     #[must_use]
-    pub fn source(&self) -> Option<&InstanceId> {
-        self.source.as_ref().map(|source| &source.relay)
+    pub fn upstream(&self) -> Option<&InstanceId> {
+        self.upstream.as_ref().map(|upstream| &upstream.relay)
     }
 
-    /// Instances that ask this one.
+    /// Number of instances that request updates from this one.
     #[must_use]
-    pub fn readers(&self) -> usize {
-        self.readers.len()
+    pub fn subscriber_count(&self) -> usize {
+        self.subscribers.len()
     }
 
-    fn take_role(&mut self, has_place: bool, now: Time) {
-        if !has_place {
-            self.place_since = None;
-            self.role = Role::Asks;
+    fn update_role(&mut self, has_slot: bool, now: Time) {
+        if !has_slot {
+            self.slot_since = None;
+            self.role = Role::Subscriber;
             return;
         }
-        let since = *self.place_since.get_or_insert(now);
-        self.role = if now.since(since) < LISTENS {
-            Role::Listens
+        let since = *self.slot_since.get_or_insert(now);
+        self.role = if now.since(since) < LISTEN_PERIOD {
+            Role::Candidate
         } else {
-            Role::Relays
+            Role::Relay
         };
     }
 
     const fn is_full_round(&self) -> bool {
-        self.rounds.is_multiple_of(FULL_EVERY)
+        self.rounds.is_multiple_of(FULL_ROUND_INTERVAL)
     }
 
-    /// A round begins; tells whether this instance has run long enough to relay.
-    fn begin_round(&mut self, now: Time) -> bool {
-        let broken = self.last_round.is_none_or(|last| now.since(last) > BREAK);
-        if broken {
-            self.unbroken_since = now;
+    /// Starts a round. Returns whether this instance has run long enough without a gap to relay.
+    fn start_round(&mut self, now: Time) -> bool {
+        let had_gap = self
+            .last_round
+            .is_none_or(|last| now.since(last) > MAX_ROUND_GAP);
+        if had_gap {
+            self.continuous_since = now;
             self.pending.clear();
         }
         self.last_round = Some(now);
         self.rounds = self.rounds.wrapping_add(1);
-        now.since(self.unbroken_since) >= WARM
+        now.since(self.continuous_since) >= RELAY_WARMUP
     }
 }
 
 impl Tables {
-    /// What is to be told in this round.
-    pub fn tell_round(&mut self, now: Time) -> Vec<Telling> {
-        let mut tellings = self.tell_status(now);
-        tellings.extend(self.tell_limits(now));
-        tellings
+    /// Returns the messages to send in this round.
+    pub fn exchange_round(&mut self, now: Time) -> Vec<OutgoingMessage> {
+        let mut outgoing = self.status_messages(now);
+        outgoing.extend(self.limit_messages(now));
+        outgoing
     }
 
-    fn tell_status(&mut self, now: Time) -> Vec<Telling> {
-        let warm = self.exchange.begin_round(now);
+    /// Returns the status messages of this round, by the role of this instance.
+    fn status_messages(&mut self, now: Time) -> Vec<OutgoingMessage> {
+        let is_warm = self.exchange.start_round(now);
         let relayed = self.is_relayed(now);
-        let has_place = relayed && warm && self.takes_place(now);
-        if has_place && self.exchange.place_since.is_none() && self.peers.view().is_some() {
+        let has_slot = relayed && is_warm && self.claim_relay_slot(now);
+        if has_slot && self.exchange.slot_since.is_none() && self.peers.view().is_some() {
             self.quotas.forget_peers();
         }
-        self.exchange.take_role(has_place, now);
-        if self.exchange.role != Role::Relays {
+        self.exchange.update_role(has_slot, now);
+        if self.exchange.role != Role::Relay {
             self.exchange.pending.clear();
-            self.exchange.readers.clear();
+            self.exchange.subscribers.clear();
         }
-        let ages = self.peers.live(now).filter_map(|peer| peer.heard);
-        self.exchange.lag = mean(ages.map(|heard| now.since(heard)));
+        let ages = self.peers.live(now).filter_map(|peer| peer.last_seen);
+        self.exchange.lag = mean(ages.map(|last_seen| now.since(last_seen)));
         if !relayed {
-            self.leave_source(now);
+            self.clear_upstream(now);
             let status = self.next_status(false, now);
-            return vec![self.to_all(status, now)];
+            return vec![self.status_to_all(status, now)];
         }
         match self.exchange.role {
-            Role::Asks => self.tell_relays(now),
-            Role::Listens => {
-                self.choose_source(now);
-                self.tell_as_relay(now)
+            Role::Subscriber => self.messages_to_relays(now),
+            Role::Candidate => {
+                self.choose_upstream(now);
+                self.relay_messages(now)
             }
-            Role::Relays => {
-                self.leave_source(now);
-                self.tell_as_relay(now)
+            Role::Relay => {
+                self.clear_upstream(now);
+                self.relay_messages(now)
             }
         }
     }
 
-    /// The last words of this instance.
-    pub fn tell_end(&mut self, now: Time) -> Telling {
+    /// Returns the final status, which tells all peers that this instance has stopped.
+    pub fn shutdown_message(&mut self, now: Time) -> OutgoingMessage {
         let status = self.next_status(true, now);
-        self.to_all(status, now)
+        self.status_to_all(status, now)
     }
 
-    /// Who is told at once of what all should know; relays pass it on to their readers.
+    /// Addresses to which an urgent message is sent; relays forward it to their subscribers.
     #[must_use]
-    pub fn fleet(&self, now: Time) -> Vec<SocketAddr> {
+    pub fn broadcast_addresses(&self, now: Time) -> Vec<SocketAddr> {
         if !self.is_relayed(now) {
             return self.reachable(now).map(address).collect();
         }
-        let own = self.relays_of(&self.me.failure_domain, now);
-        let mut to = self.away(now);
-        to.extend(own);
-        to.extend(self.readers());
+        let local_relays = self.relay_addresses(&self.local.failure_domain, now);
+        let mut to = self.remote_recipients(now);
+        to.extend(local_relays);
+        to.extend(self.subscribers());
         to
     }
 
-    /// Instances that ask this one for news.
+    /// Addresses of the instances that request updates from this one.
     #[must_use]
-    pub fn readers(&self) -> Vec<SocketAddr> {
-        let readers = self.exchange.readers.keys();
-        let readers = readers.filter_map(|name| self.peers.get(name));
-        readers.map(address).collect()
+    pub fn subscribers(&self) -> Vec<SocketAddr> {
+        let subscribers = self.exchange.subscribers.keys();
+        let subscribers = subscribers.filter_map(|name| self.peers.get(name));
+        subscribers.map(address).collect()
     }
 
-    /// Mean age of what this instance knows of the others' requests and spending.
+    /// Mean age of what is known of the requests and spending of other instances.
     #[must_use]
-    pub fn news_age(&self, now: Time) -> Duration {
+    pub fn update_age(&self, now: Time) -> Duration {
         if let Some(view) = self.peers.view() {
-            return view.lag + now.since(view.at).max(ROUND / 2);
+            return view.lag + now.since(view.at).max(ROUND_INTERVAL / 2);
         }
-        self.exchange.lag.max(ROUND / 2)
+        self.exchange.lag.max(ROUND_INTERVAL / 2)
     }
 
-    /// Whether news go through relays.
+    /// Whether updates go through relays.
     pub(super) fn is_relayed(&self, now: Time) -> bool {
         let others_relay = self
-            .relays_of(&self.me.failure_domain, now)
+            .relay_addresses(&self.local.failure_domain, now)
             .next()
             .is_some();
-        others_relay || self.reachable(now).count() + 1 > DIRECT_FLEET
+        others_relay || self.reachable(now).count() + 1 > MAX_DIRECT_FLEET
     }
 
-    /// Peers that live, or may.
+    /// Peers that are live, or may be: those never seen, and those seen within [`GONE_THRESHOLD`].
     fn reachable(&self, now: Time) -> impl Iterator<Item = &Peer> {
         let peers = self.peers.all();
-        peers.filter(move |peer| peer.heard.is_none() || peer.heard_within(GONE_AFTER, now))
+        peers.filter(move |peer| peer.last_seen.is_none() || peer.seen_within(GONE_THRESHOLD, now))
     }
 
-    fn to_all(&self, status: Status, now: Time) -> Telling {
-        Telling {
+    fn status_to_all(&self, status: Status, now: Time) -> OutgoingMessage {
+        OutgoingMessage {
             to: self.reachable(now).map(address).collect(),
-            message: own(status, Asks::Nothing),
+            message: status_message(status, UpdateRequest::None),
         }
     }
 
     fn next_status(&mut self, ended: bool, now: Time) -> Status {
         self.exchange.seq += 1;
-        let spent = self.quotas.tell_spent(NEWS_LASTS, now);
-        let loads = self.own_loads();
+        let spent = self.quotas.tell_spent(SPENDING_TTL, now);
+        let loads = self.local_loads();
         Status {
-            from: ShortHash::of(self.me.name.as_str()),
-            life: self.me.incarnation.0,
+            from: ShortHash::of(self.local.name.as_str()),
+            incarnation: self.local.incarnation.0,
             seq: self.exchange.seq,
             age_ms: 0,
             uptime_ms: u32::try_from(now.since(self.started).as_millis()).unwrap_or(u32::MAX),
             ready: self.ready() && !ended,
-            store_answers: self.registry.store_answers(now),
+            store_reachable: self.registry.is_store_reachable(now),
             ended,
             role: self.exchange.role,
             config: self.routes.version(),
             targets: self.registry.revision(),
             targets_digest: self.registry.digest(),
             versions: self.versions.total(),
-            verdicts_digest: self.quarantine.digest(),
+            quarantine_digest: self.quarantine.digest(),
             spent,
             in_flight: loads
                 .map(|(target, load)| (ShortHash::of(target.as_str()), load))
                 .collect(),
-            loads: self.loads.under_way,
+            loads: self.loads.active,
             waiting_loads: self.loads.waiting,
-            places: self
+            adapter_slots: self
                 .loads
-                .places
+                .adapter_slots
                 .iter()
-                .map(|(hash, at)| (*hash, *at))
+                .map(|(hash, slots)| (*hash, *slots))
                 .collect(),
             shards: self.shards.clone(),
             claims: self.claims.clone(),
--- /dev/null
+++ b/crates/gateway/src/decide/exchange/updates.rs
@@ -0,0 +1,153 @@
+//! Builds the updates that a relay sends to its subscribers.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use bluebellstage_core::Time;
+
+use super::message::{Message, OutgoingMessage};
+use super::{SPENDING_TTL, address, millis};
+use crate::decide::peers::{DOWN_THRESHOLD, Load, Peer, StoreVersions};
+use crate::decide::relay_update::{Liveness, Loads, RelayUpdate, Roster, RosterEntry};
+use crate::decide::rendezvous::ShortHash;
+use crate::decide::status::Status;
+use crate::decide::tables::Tables;
+
+/// Time for which a subscriber gets updates after its last request.
+const SUBSCRIPTION_TTL: Duration = Duration::from_secs(1);
+
+impl Tables {
+    /// Updates for all subscribers.
+    pub(super) fn updates(&mut self, status: &Status, now: Time) -> Vec<OutgoingMessage> {
+        let subscribers = &mut self.exchange.subscribers;
+        subscribers.retain(|_, subscriber| now.since(subscriber.requested_at) < SUBSCRIPTION_TTL);
+        let subscribers = subscribers.clone();
+        let full = self.exchange.is_full_round();
+        let liveness = full.then(|| self.liveness(now));
+        let other_statuses = if full {
+            self.statuses_to_forward(now)
+        } else {
+            Vec::new()
+        };
+        let sums = self.sums();
+        let digest = self.registry.digest();
+        let mut outgoing = Vec::new();
+        for (name, subscriber) in subscribers {
+            let Some(peer) = self.peers.get(&name) else {
+                continue;
+            };
+            let loads = subtract_peer(&sums, peer);
+            let loads = if peer.targets_digest == digest {
+                Loads::in_order(&loads, digest)
+            } else {
+                Loads::by_name(&loads)
+            };
+            let span = if subscriber.wants_all {
+                Duration::MAX
+            } else {
+                SPENDING_TTL
+            };
+            let update = RelayUpdate {
+                relay: status.without_sums(),
+                other_statuses: other_statuses.clone(),
+                lag_ms: millis(self.exchange.lag),
+                loads,
+                spent: self.quotas.spent_by_others(&name, span, now).collect(),
+                remaining: if subscriber.wants_all {
+                    self.quotas.left().collect()
+                } else {
+                    Vec::new()
+                },
+                liveness: liveness.clone(),
+            };
+            outgoing.push(OutgoingMessage {
+                to: vec![address(peer)],
+                message: Message::Update(Box::new(update)),
+            });
+        }
+        outgoing
+    }
+
+    /// Load of all instances, including this one, at each target, in the order of the target list.
+    pub(super) fn sums(&self) -> Vec<(ShortHash, Load)> {
+        let local = self.local_loads();
+        let local = local.map(|(target, load)| (ShortHash::of(target.as_str()), load));
+        let local = local.collect::<BTreeMap<_, _>>();
+        let targets = self.registry.target_hashes();
+        let sums = targets.map(|target| {
+            let mut sum = self.peers.load(target);
+            sum.add(local.get(&target).copied().unwrap_or_default());
+            (target, sum)
+        });
+        sums.collect()
+    }
+
+    /// Statuses of the peers that hold leases and of the other relays of the local failure domain.
+    pub(super) fn statuses_to_forward(&self, now: Time) -> Vec<Status> {
+        let local = &self.local.failure_domain;
+        let live = self.peers.live(now).filter(|peer| {
+            let is_relay = peer.role.receives_all() && peer.member.failure_domain == *local;
+            is_relay || !peer.claims.is_empty() || !peer.shards.is_empty()
+        });
+        live.map(|peer| peer.status(now).without_sums()).collect()
+    }
+
+    pub(super) fn roster(&self) -> Roster {
+        let peers = self.peers.all().map(|peer| &peer.member);
+        let all = peers.chain([&self.local]);
+        let entries = all.map(|member| {
+            RosterEntry::new(ShortHash::of(member.name.as_str()), member.incarnation.0)
+        });
+        Roster {
+            entries: entries.collect(),
+        }
+    }
+
+    pub(super) fn liveness(&self, now: Time) -> Liveness {
+        let peers = self.peers.all();
+        let local_versions = self.store_versions();
+        let bits = peers.map(|peer| {
+            let live = peer.seen_within(DOWN_THRESHOLD, now);
+            let same = peer.config == local_versions.config
+                && peer.targets_digest == local_versions.targets_digest
+                && peer.versions == local_versions.versions
+                && peer.quarantine_digest == local_versions.quarantine_digest;
+            [live, peer.ready, peer.store_reachable, same]
+        });
+        let local = [
+            true,
+            self.ready(),
+            self.registry.is_store_reachable(now),
+            true,
+        ];
+        let bits = bits.chain([local]).collect::<Vec<_>>();
+        let column = |idx: usize| bits.iter().map(|row| row[idx]).collect();
+        Liveness {
+            roster: self.roster().digest(),
+            live: column(0),
+            ready: column(1),
+            store_reachable: column(2),
+            same: column(3),
+        }
+    }
+
+    pub(super) fn store_versions(&self) -> StoreVersions {
+        StoreVersions {
+            config: self.routes.version(),
+            targets: self.registry.revision(),
+            targets_digest: self.registry.digest(),
+            versions: self.versions.total(),
+            quarantine_digest: self.quarantine.digest(),
+        }
+    }
+}
+
+/// Subtracts the load of a peer from the sums.
+fn subtract_peer(sums: &[(ShortHash, Load)], peer: &Peer) -> Vec<(ShortHash, Load)> {
+    let sums = sums.iter().map(|(target, sum)| {
+        let mut sum = *sum;
+        sum.subtract(peer.in_flight.get(target).copied().unwrap_or_default());
+        (*target, sum)
+    });
+    sums.collect()
+}
--- a/crates/gateway/src/decide/follower.rs
+++ b/crates/gateway/src/decide/follower.rs
@@ -26,15 +26,15 @@
 const TARGETS_WAIT: Duration = Duration::from_millis(1_500);
 /// Pause after news of targets: their registrations change with each heartbeat, and each answer
 /// costs a call. A leaving target must be known everywhere within 2 s.
-const TARGETS_PAUSE: Duration = Duration::from_millis(800);
+const TARGETS_DELAY: Duration = Duration::from_millis(800);
 /// Pause after other news, so that a burst of changes takes one call.
-const PAUSE: Duration = Duration::from_millis(100);
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 /// First and longest pause after a call that failed.
-const RETRY_PAUSE: [Duration; 2] = [Duration::from_millis(150), Duration::from_secs(1)];
+const RETRY_BACKOFF: [Duration; 2] = [Duration::from_millis(150), Duration::from_secs(1)];
 
 /// What to ask the store for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ask {
+pub enum StoreRequest {
     /// All objects of the kind.
     List,
     /// Changes after a revision.
@@ -52,8 +52,8 @@
     kind: Kind,
     after: Option<Revision>,
     /// The store no longer has the changes after this revision.
-    gone: Revision,
-    retry: Duration,
+    history_gone_after: Revision,
+    next_backoff: Duration,
 }
 
 impl Follower {
@@ -63,8 +63,8 @@
         Self {
             kind,
             after,
-            gone: Revision(0),
-            retry: RETRY_PAUSE[0],
+            history_gone_after: Revision(0),
+            next_backoff: RETRY_BACKOFF[0],
         }
     }
 
@@ -82,39 +82,39 @@
 
     /// What to ask next.
     #[must_use]
-    pub const fn ask(&self) -> Ask {
+    pub const fn next_request(&self) -> StoreRequest {
         match self.after {
-            None => Ask::List,
-            Some(after) => Ask::Watch {
+            None => StoreRequest::List,
+            Some(after) => StoreRequest::Watch {
                 after,
-                wait: longest_wait(self.kind),
+                wait: max_wait(self.kind),
             },
         }
     }
 
     /// The store has answered with all up to a revision; gives the pause until the next call.
-    pub fn answered(&mut self, revision: Revision, any_objects: bool) -> Duration {
-        self.retry = RETRY_PAUSE[0];
+    pub fn record_response(&mut self, revision: Revision, any_objects: bool) -> Duration {
+        self.next_backoff = RETRY_BACKOFF[0];
         let listed = self.after.replace(revision).is_none();
         match (listed || !any_objects, self.kind) {
             (true, _) => Duration::ZERO,
-            (false, Kind::Targets) => TARGETS_PAUSE,
-            (false, _) => PAUSE,
+            (false, Kind::Targets) => TARGETS_DELAY,
+            (false, _) => BATCH_DELAY,
         }
     }
 
     /// A peer has told all up to a revision: unless the history since then is gone, nothing need be
     /// listed.
-    pub fn copied(&mut self, revision: Revision) {
-        if revision > self.gone {
+    pub fn record_copy(&mut self, revision: Revision) {
+        if revision > self.history_gone_after {
             self.after = Some(revision);
         }
     }
 
     /// The store no longer has the changes that were asked for: all is listed next.
-    pub const fn history_gone(&mut self) {
+    pub const fn record_history_gone(&mut self) {
         if let Some(after) = self.after.take() {
-            self.gone = after;
+            self.history_gone_after = after;
         }
     }
 
@@ -124,14 +124,14 @@
     /// The pause keeps an instance that is refused at once from asking without a break. A call without
     /// an answer has taken longer than that already: were it followed by a pause, the store could be
     /// back for as long as both before it is asked.
-    pub fn failed(&mut self, took: Duration, spread: f64) -> Duration {
-        let pause = self.retry;
-        self.retry = (pause * 2).min(RETRY_PAUSE[1]);
-        pause.mul_f64(spread).saturating_sub(took)
+    pub fn record_failure(&mut self, took: Duration, spread: f64) -> Duration {
+        let backoff = self.next_backoff;
+        self.next_backoff = (backoff * 2).min(RETRY_BACKOFF[1]);
+        backoff.mul_f64(spread).saturating_sub(took)
     }
 }
 
-const fn longest_wait(kind: Kind) -> Duration {
+const fn max_wait(kind: Kind) -> Duration {
     match kind {
         Kind::Config => CONFIG_WAIT,
         Kind::Targets => TARGETS_WAIT,
--- a/crates/gateway/src/decide/peers.rs
+++ b/crates/gateway/src/decide/peers.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::loader::Places;
-use super::news::View;
+use super::relay_update::RelayView;
 use super::rendezvous::{ShortHash, weight};
 use super::status::{Role, Status};
 
@@ -48,12 +48,12 @@
 pub struct Strength(pub u32);
 
 /// Silence after which a peer counts as down for callers and takeovers.
-pub const DOWN_AFTER: Duration = Duration::from_millis(1_100);
+pub const DOWN_THRESHOLD: Duration = Duration::from_millis(1_100);
 
 /// Silence after which a peer no longer counts in the division of quotas, budgets and connections.
 ///
 /// Longer than a cut of a link usually lasts: such a peer still serves its callers.
-pub const GONE_AFTER: Duration = Duration::from_secs(20);
+pub const GONE_THRESHOLD: Duration = Duration::from_secs(20);
 
 /// What an instance, or all of them, have at a target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
@@ -80,20 +80,20 @@
 
 /// What a relay says of a peer.
 #[derive(Clone, Copy, Debug)]
-pub struct Vouched {
+pub struct RelayReport {
     /// It was heard lately.
     pub live: bool,
     /// It takes callers.
     pub ready: bool,
     /// The store answers it.
-    pub store_answers: bool,
+    pub store_reachable: bool,
     /// What it knows of the store, if the relay says so.
-    pub store: Option<KnownOfStore>,
+    pub store: Option<StoreVersions>,
 }
 
 /// How new what an instance knows of the store is.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct KnownOfStore {
+pub struct StoreVersions {
     /// Version of its configuration.
     pub config: Revision,
     /// Revision of its list of targets.
@@ -103,7 +103,7 @@
     /// Sum of the adapter versions that it knows to be announced.
     pub versions: u64,
     /// Digest of the verdicts on requests that it knows; zero if there is none.
-    pub verdicts_digest: u64,
+    pub quarantine_digest: u64,
 }
 
 /// What a peer last told.
@@ -112,7 +112,7 @@
     /// Its registration.
     pub member: Member,
     /// When it was last heard; none: known from the registry alone.
-    pub heard: Option<Time>,
+    pub last_seen: Option<Time>,
     /// Count of the status that was last heard.
     pub seq: u32,
     /// Time in milliseconds since its life began, as it last told.
@@ -122,7 +122,7 @@
     /// It takes callers.
     pub ready: bool,
     /// The store answers it.
-    pub store_answers: bool,
+    pub store_reachable: bool,
     /// Version of its configuration.
     pub config: Revision,
     /// Revision of its list of targets.
@@ -132,7 +132,7 @@
     /// Sum of the adapter versions that it knows to be announced.
     pub versions: u64,
     /// Digest of the verdicts on requests that it knows; zero if there is none.
-    pub verdicts_digest: u64,
+    pub quarantine_digest: u64,
     /// What it has at each target, by the target's hash.
     pub in_flight: HashMap<ShortHash, Load>,
     /// Loads from the weight store that it has under way.
@@ -140,7 +140,7 @@
     /// Adapters that wait for one on engines of its shards.
     pub waiting_loads: u16,
     /// Places for adapters on the engines of its shards.
-    pub places: HashMap<ShortHash, Places>,
+    pub adapter_slots: HashMap<ShortHash, Places>,
     /// Loader shards on which it orders.
     pub shards: Vec<u8>,
     /// Loader shards that it holds, also while it may not order yet.
@@ -157,7 +157,7 @@
     /// Names behind short hashes.
     names: HashMap<ShortHash, InstanceId>,
     /// News from a relay; while there are any, they stand in place of the sums.
-    view: Option<View>,
+    view: Option<RelayView>,
 }
 
 fn subtract(sums: &mut HashMap<ShortHash, Load>, loads: &HashMap<ShortHash, Load>) {
@@ -170,24 +170,24 @@
 
 impl Peers {
     /// Takes in a registration from the store or from a peer's copy.
-    pub fn registered(&mut self, member: Member) {
+    pub fn register(&mut self, member: Member) {
         match self.known.get_mut(&member.name) {
-            Some(peer) if peer.heard.is_some() => {}
+            Some(peer) if peer.last_seen.is_some() => {}
             Some(peer) => peer.member = member,
-            None => self.insert(Peer::registered(member)),
+            None => self.insert(Peer::unseen(member)),
         }
     }
 
     /// Forgets a registration that is gone, unless the peer is still heard.
-    pub fn unregistered(&mut self, name: &InstanceId, now: Time) {
-        let heard = |peer: &Peer| peer.heard_within(DOWN_AFTER, now);
+    pub fn unregister(&mut self, name: &InstanceId, now: Time) {
+        let heard = |peer: &Peer| peer.seen_within(DOWN_THRESHOLD, now);
         if self.known.get(name).is_some_and(|peer| !heard(peer)) {
-            self.ended(name);
+            self.remove(name);
         }
     }
 
     /// A peer has ended as planned.
-    pub fn ended(&mut self, name: &InstanceId) {
+    pub fn remove(&mut self, name: &InstanceId) {
         if let Some(peer) = self.known.remove(name) {
             subtract(&mut self.sums, &peer.in_flight);
             self.names.remove(&ShortHash::of(name.as_str()));
@@ -210,7 +210,7 @@
     /// Takes the requests of peers that fell silent out of the sums, and forgets empty ones.
     pub fn sweep(&mut self, now: Time) {
         let silent = self.known.values_mut();
-        let silent = silent.filter(|peer| !peer.heard_within(DOWN_AFTER, now));
+        let silent = silent.filter(|peer| !peer.seen_within(DOWN_THRESHOLD, now));
         for peer in silent {
             subtract(&mut self.sums, &peer.in_flight);
             peer.in_flight.clear();
@@ -219,15 +219,15 @@
     }
 
     /// Takes in what a peer told.
-    pub fn heard(&mut self, peer: Peer) {
+    pub fn update(&mut self, peer: Peer) {
         self.insert(peer);
     }
 
     /// The registration behind a short hash, if it is of that life.
     #[must_use]
-    pub fn member(&self, from: ShortHash, life: u64) -> Option<&Member> {
+    pub fn member(&self, from: ShortHash, incarnation: u64) -> Option<&Member> {
         let member = &self.by_hash(from)?.member;
-        (member.incarnation.0 == life).then_some(member)
+        (member.incarnation.0 == incarnation).then_some(member)
     }
 
     /// The peer behind a short hash.
@@ -251,7 +251,7 @@
     }
 
     /// A relay says how a peer is; its requests are in the relay's sums.
-    pub fn vouched(&mut self, name: ShortHash, word: Vouched, now: Time) {
+    pub fn apply_relay_report(&mut self, name: ShortHash, word: RelayReport, now: Time) {
         let Some(name) = self.names.get(&name) else {
             return;
         };
@@ -261,38 +261,38 @@
         subtract(&mut self.sums, &peer.in_flight);
         peer.in_flight.clear();
         if !word.live {
-            let down = now - DOWN_AFTER;
-            peer.heard = peer.heard.map(|heard| heard.min(down));
+            let down = now - DOWN_THRESHOLD;
+            peer.last_seen = peer.last_seen.map(|heard| heard.min(down));
             return;
         }
-        peer.heard = Some(now);
+        peer.last_seen = Some(now);
         peer.ready = word.ready;
-        peer.store_answers = word.store_answers;
+        peer.store_reachable = word.store_reachable;
         if let Some(store) = word.store {
             peer.config = store.config;
             peer.targets = store.targets;
             peer.targets_digest = store.targets_digest;
             peer.versions = store.versions;
-            peer.verdicts_digest = store.verdicts_digest;
+            peer.quarantine_digest = store.quarantine_digest;
         }
     }
 
     /// Puts news from a relay in place of the sums, or the sums back.
-    pub fn set_view(&mut self, view: Option<View>) {
+    pub fn set_view(&mut self, view: Option<RelayView>) {
         self.view = view;
     }
 
     /// News from a relay that stand in place of the sums.
     #[must_use]
-    pub const fn view(&self) -> Option<&View> {
+    pub const fn view(&self) -> Option<&RelayView> {
         self.view.as_ref()
     }
 
     /// Takes in who a peer is; a new life replaces the old one.
-    pub fn introduced(&mut self, member: Member) {
+    pub fn set_member(&mut self, member: Member) {
         let known = self.known.get(&member.name);
         if known.is_none_or(|peer| peer.member != member) {
-            self.insert(Peer::registered(member));
+            self.insert(Peer::unseen(member));
         }
     }
 
@@ -309,26 +309,26 @@
 
     /// Peers that were heard lately.
     pub fn live(&self, now: Time) -> impl Iterator<Item = &Peer> {
-        let live = move |peer: &&Peer| peer.heard_within(DOWN_AFTER, now);
+        let live = move |peer: &&Peer| peer.seen_within(DOWN_THRESHOLD, now);
         self.known.values().filter(live)
     }
 
     /// Instances that share quotas, budgets and connections, this one included.
     #[must_use]
-    pub fn sharing(&self, now: Time) -> usize {
-        let shares = |peer: &&Peer| peer.heard_within(GONE_AFTER, now);
+    pub fn sharing_count(&self, now: Time) -> usize {
+        let shares = |peer: &&Peer| peer.seen_within(GONE_THRESHOLD, now);
         1 + self.known.values().filter(shares).count()
     }
 
     /// Part of the sharing instances that can't be heard now, between 0 and 1. An instance that is `new` has not
     /// heard all that are registered yet: they are taken to spend, too.
     #[must_use]
-    pub fn silent_share(&self, new: bool, now: Time) -> f64 {
-        let unmet = self
+    pub fn silent_fraction(&self, new: bool, now: Time) -> f64 {
+        let undiscovered = self
             .known
             .values()
-            .filter(|peer| new && peer.heard.is_none());
-        let sharing = self.sharing(now) + unmet.count();
+            .filter(|peer| new && peer.last_seen.is_none());
+        let sharing = self.sharing_count(now) + undiscovered.count();
         let silent = sharing - 1 - self.live(now).count();
         let [silent, sharing] = [silent, sharing].map(|count| u32::try_from(count).unwrap_or(1));
         f64::from(silent) / f64::from(sharing)
@@ -349,24 +349,24 @@
 }
 
 impl Peer {
-    fn registered(member: Member) -> Self {
+    fn unseen(member: Member) -> Self {
         Self {
             member,
-            heard: None,
+            last_seen: None,
             seq: 0,
             uptime_ms: 0,
-            role: Role::Asks,
+            role: Role::Subscriber,
             ready: false,
-            store_answers: false,
+            store_reachable: false,
             config: Revision::default(),
             targets: Revision::default(),
             targets_digest: 0,
             versions: 0,
-            verdicts_digest: 0,
+            quarantine_digest: 0,
             in_flight: HashMap::new(),
             loads: 0,
             waiting_loads: 0,
-            places: HashMap::new(),
+            adapter_slots: HashMap::new(),
             shards: Vec::new(),
             claims: Vec::new(),
         }
@@ -374,24 +374,24 @@
 
     /// What an instance told of itself, last heard at a time.
     #[must_use]
-    pub fn told(member: Member, status: &Status, heard: Time) -> Self {
+    pub fn from_status(member: Member, status: &Status, heard: Time) -> Self {
         Self {
             member,
-            heard: Some(heard),
+            last_seen: Some(heard),
             seq: status.seq,
             uptime_ms: status.uptime_ms,
             role: status.role,
             ready: status.ready,
-            store_answers: status.store_answers,
+            store_reachable: status.store_reachable,
             config: status.config,
             targets: status.targets,
             targets_digest: status.targets_digest,
             versions: status.versions,
-            verdicts_digest: status.verdicts_digest,
+            quarantine_digest: status.quarantine_digest,
             in_flight: status.in_flight.iter().copied().collect(),
             loads: status.loads,
             waiting_loads: status.waiting_loads,
-            places: status.places.iter().copied().collect(),
+            adapter_slots: status.adapter_slots.iter().copied().collect(),
             shards: status.shards.clone(),
             claims: status.claims.clone(),
         }
@@ -400,14 +400,16 @@
     /// What it told, but for its spending, for others.
     #[must_use]
     pub fn status(&self, now: Time) -> Status {
-        let held = self.heard.map_or(Duration::ZERO, |heard| now.since(heard));
+        let held = self
+            .last_seen
+            .map_or(Duration::ZERO, |heard| now.since(heard));
         Status {
             from: ShortHash::of(self.member.name.as_str()),
-            life: self.member.incarnation.0,
+            incarnation: self.member.incarnation.0,
             seq: self.seq,
             age_ms: u16::try_from(held.as_millis()).unwrap_or(u16::MAX),
             ready: self.ready,
-            store_answers: self.store_answers,
+            store_reachable: self.store_reachable,
             ended: false,
             uptime_ms: self.uptime_ms,
             role: self.role,
@@ -415,7 +417,7 @@
             targets: self.targets,
             targets_digest: self.targets_digest,
             versions: self.versions,
-            verdicts_digest: self.verdicts_digest,
+            quarantine_digest: self.quarantine_digest,
             spent: Vec::new(),
             in_flight: self
                 .in_flight
@@ -424,7 +426,11 @@
                 .collect(),
             loads: self.loads,
             waiting_loads: self.waiting_loads,
-            places: self.places.iter().map(|(hash, at)| (*hash, *at)).collect(),
+            adapter_slots: self
+                .adapter_slots
+                .iter()
+                .map(|(hash, at)| (*hash, *at))
+                .collect(),
             shards: self.shards.clone(),
             claims: self.claims.clone(),
         }
@@ -432,7 +438,7 @@
 
     /// Whether it was heard within `span` before `now`.
     #[must_use]
-    pub fn heard_within(&self, span: Duration, now: Time) -> bool {
-        self.heard.is_some_and(|heard| now.since(heard) < span)
+    pub fn seen_within(&self, span: Duration, now: Time) -> bool {
+        self.last_seen.is_some_and(|heard| now.since(heard) < span)
     }
 }
--- a/crates/gateway/src/decide/picking.rs
+++ b/crates/gateway/src/decide/picking.rs
@@ -102,7 +102,7 @@
             .filter(|target| target.service == ticket.service)
             .filter(|target| !tried.contains(&target.id))
             .map(|target| {
-                let own = self.own_in_flight(&target.id);
+                let own = self.local_in_flight(&target.id);
                 let others = self.peers.load(ShortHash::of(target.id.as_str()));
                 let prompts = self.queues.own(&target.id) + u64::from(others.prompts);
                 Candidate {
@@ -123,7 +123,7 @@
             health: &self.health,
             residency: &self.residency,
             versions: &self.versions,
-            failure_domain: &self.me.failure_domain,
+            failure_domain: &self.local.failure_domain,
             target_latency: ticket.route().target_latency,
             rank: ticket.rank,
             asked: self.asked_at(call, now),
@@ -137,7 +137,7 @@
             _ => pick_plain(&candidates, &known),
         };
         if let (Pick::Load(target), Some(key)) = (&pick, Self::adapter_of(call)) {
-            let asked = self.asked.entry(key.clone());
+            let asked = self.recent_engines.entry(key.clone());
             let asked = asked.or_insert_with(|| (target.clone(), now));
             if asked.0 != *target {
                 *asked = (target.clone(), now);
@@ -173,14 +173,14 @@
 
     /// The engine where the call's adapter was asked for lately.
     fn asked_at(&self, call: &Call, now: Time) -> Option<&TargetId> {
-        let (target, at) = self.asked.get(Self::adapter_of(call)?)?;
+        let (target, at) = self.recent_engines.get(Self::adapter_of(call)?)?;
         (now.since(*at) < ASKED_LASTS).then_some(target)
     }
 
     /// Connections to one target that this instance may have, of `most` for all.
     #[must_use]
     pub fn connection_limit(&self, most: u32, now: Time) -> u32 {
-        let sharing = u32::try_from(self.peers.sharing(now)).unwrap_or(u32::MAX);
+        let sharing = u32::try_from(self.peers.sharing_count(now)).unwrap_or(u32::MAX);
         let share = f64::from(most) * USED_CONNECTIONS / f64::from(sharing);
         #[expect(
             clippy::cast_possible_truncation,
@@ -205,10 +205,10 @@
     /// Places for adapters on an engine, as its holder last told.
     fn places(&self, target: &TargetId, now: Time) -> Places {
         let hash = ShortHash::of(target.as_str());
-        let own = self.loads.places.get(&hash);
+        let own = self.loads.adapter_slots.get(&hash);
         let told = || {
             let holder = self.peers.holder(shard_of(target), now)?;
-            holder.places.get(&hash)
+            holder.adapter_slots.get(&hash)
         };
         own.or_else(told).copied().unwrap_or_default()
     }
--- a/crates/gateway/src/decide/registry.rs
+++ b/crates/gateway/src/decide/registry.rs
@@ -20,13 +20,13 @@
 const RETURN_GRACE: Duration = Duration::from_millis(1_800);
 /// Shortest outage in which a registration can lapse: targets report every 1.2 s and lapse after
 /// three reports that are missing, the first of which may have been due when it began.
-const SHORTEST_LAPSE: Duration = Duration::from_millis(2_300);
+const MIN_LAPSE_OUTAGE: Duration = Duration::from_millis(2_300);
 /// How long after a call that failed the store counts as away; the longest pause between two calls
 /// is 1 s, and an answer takes up to 1.2 s.
-const AWAY_AFTER_FAILURE: Duration = Duration::from_millis(2_200);
+const AWAY_PERIOD: Duration = Duration::from_millis(2_200);
 
 /// Longest time between two answers to a follower; targets report every 1.2 s, and it pauses 0.8 s.
-const FOLLOWER_SILENCE: Duration = Duration::from_millis(1_600);
+const FOLLOWER_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// Targets for a peer: those that it lacks, or all.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -36,7 +36,7 @@
     /// Digest of the giver's whole list.
     pub digest: u32,
     /// It holds all targets, not only what changed.
-    pub whole: bool,
+    pub complete: bool,
     /// Registrations that are there, with the revision of their last change.
     pub targets: Vec<(Revision, Target)>,
     /// Targets that were removed since, if it isn't whole.
@@ -58,7 +58,7 @@
     targets: BTreeMap<TargetId, Target>,
     vanished: HashMap<TargetId, Vanished>,
     /// When this instance first saw each target's present life.
-    lives: HashMap<TargetId, Time>,
+    first_seen: HashMap<TargetId, Time>,
     changes: ChangeLog,
     /// Digest of the targets as they are; none after a change.
     digest: Cell<Option<u32>>,
@@ -67,11 +67,11 @@
     revision: Revision,
     away_until: Time,
     /// The store's last answer to this instance was a failure.
-    lost: bool,
+    last_call_failed: bool,
     /// While the first answer after an outage is taken in: until when what vanished may come back.
     grace_until: Option<Time>,
     followed_since: Option<Time>,
-    last_news: Time,
+    last_response: Time,
 }
 
 impl Registry {
@@ -82,14 +82,14 @@
     }
 
     /// The store can't be reached.
-    pub fn store_lost(&mut self, now: Time) {
-        self.away_until = now + AWAY_AFTER_FAILURE;
-        self.lost = true;
+    pub fn record_store_failure(&mut self, now: Time) {
+        self.away_until = now + AWAY_PERIOD;
+        self.last_call_failed = true;
         self.grace_until = None;
     }
 
     /// This instance begins or ends to follow the store.
-    pub fn follow(&mut self, follows: bool, now: Time) {
+    pub fn set_following(&mut self, follows: bool, now: Time) {
         match (follows, self.followed_since) {
             (true, None) => self.followed_since = Some(now),
             (true, Some(_)) => {}
@@ -102,11 +102,15 @@
     /// What the first answer after a long enough outage lacks may belong to targets that live. What
     /// vanishes later has left: were it kept as well, an instance back from a cut of its own would
     /// send to a target more than 2 s after it was gone.
-    pub fn heard_store(&mut self, now: Time) {
-        let before = self.followed_since.unwrap_or_default().max(self.last_news);
-        let lapses = std::mem::take(&mut self.lost) && now.since(before) >= SHORTEST_LAPSE;
+    pub fn record_store_response(&mut self, now: Time) {
+        let before = self
+            .followed_since
+            .unwrap_or_default()
+            .max(self.last_response);
+        let lapses =
+            std::mem::take(&mut self.last_call_failed) && now.since(before) >= MIN_LAPSE_OUTAGE;
         self.grace_until = lapses.then(|| now + RETURN_GRACE);
-        self.last_news = now;
+        self.last_response = now;
     }
 
     /// Whether the store answers this instance, as far as it knows.
@@ -115,14 +119,14 @@
     /// silence alone tells, and others must follow in its place before a leaving target's time is
     /// over.
     #[must_use]
-    pub fn store_answers(&self, now: Time) -> bool {
-        let silent = |since: Time| now.since(since.max(self.last_news)) > FOLLOWER_SILENCE;
-        !self.store_away(now) && !self.followed_since.is_some_and(silent)
+    pub fn is_store_reachable(&self, now: Time) -> bool {
+        let silent = |since: Time| now.since(since.max(self.last_response)) > FOLLOWER_TIMEOUT;
+        !self.is_store_away(now) && !self.followed_since.is_some_and(silent)
     }
 
     /// The store could not be reached lately.
     #[must_use]
-    pub fn store_away(&self, now: Time) -> bool {
+    pub fn is_store_away(&self, now: Time) -> bool {
         now < self.away_until
     }
 
@@ -140,13 +144,13 @@
         for target in targets {
             self.put(target, revision, now);
         }
-        self.changes.restart(revision);
+        self.changes.reset(revision);
         self.revision = self.revision.max(revision);
     }
 
     /// Takes in what a peer gave. Targets that are `in_grace` there stay here too, if they are known:
     /// their registrations may come back.
-    pub fn copy(&mut self, copy: RegistryCopy, now: Time) {
+    pub fn apply_copy(&mut self, copy: RegistryCopy, now: Time) {
         if copy.revision <= self.revision && !self.diverged {
             return;
         }
@@ -159,7 +163,7 @@
                 self.vanished.entry(id).or_insert(vanished);
             }
         }
-        if copy.whole {
+        if copy.complete {
             let listed = copy.targets.iter().map(|(_, target)| &target.id);
             let listed = listed.collect::<HashSet<_>>();
             let absent = self.targets.keys().filter(|id| !listed.contains(id));
@@ -167,10 +171,10 @@
             for id in absent.cloned().collect::<Vec<_>>() {
                 self.drop_target(&id, copy.revision);
             }
-            self.changes.restart(copy.revision);
+            self.changes.reset(copy.revision);
         }
         for (at, id) in copy.removed {
-            if !self.changes.is_old(&id, at) {
+            if !self.changes.is_outdated(&id, at) {
                 self.drop_target(&id, at);
             }
         }
@@ -184,7 +188,7 @@
 
     /// The revision up to which a peer's copy need not tell; none known if all is needed.
     #[must_use]
-    pub fn copied_up_to(&self) -> Revision {
+    pub fn copied_revision(&self) -> Revision {
         if self.diverged {
             return Revision::default();
         }
@@ -200,19 +204,19 @@
     /// A list of thousands of targets is hundreds of kilobytes. Were it given whole each time, a large
     /// fleet would copy lists for as long as it may take to put a configuration in force.
     #[must_use]
-    pub fn copied(&self, have: Revision, now: Time) -> RegistryCopy {
+    pub fn copy_since(&self, have: Revision, now: Time) -> RegistryCopy {
         let vanished = self.vanished.iter();
         let removed = self.changes.removed_since(have);
-        let whole = removed.is_none();
+        let complete = removed.is_none();
         let known = self.present().map(|target| {
-            let at = self.changes.last(&target.id);
+            let at = self.changes.last_change(&target.id);
             (at, target)
         });
-        let lacked = known.filter(|(at, _)| whole || *at > have);
+        let lacked = known.filter(|(at, _)| complete || *at > have);
         RegistryCopy {
             revision: self.revision,
             digest: self.digest(),
-            whole,
+            complete,
             targets: lacked.map(|(at, target)| (at, target.clone())).collect(),
             removed: removed.unwrap_or_default(),
             in_grace: vanished
@@ -229,7 +233,7 @@
     }
 
     /// The targets that the digest is of, in one order for all who have the same.
-    pub fn order(&self) -> impl Iterator<Item = ShortHash> {
+    pub fn target_hashes(&self) -> impl Iterator<Item = ShortHash> {
         let present = self.present();
         present.map(|target| ShortHash::of(target.id.as_str()))
     }
@@ -237,17 +241,17 @@
     /// Takes in one registration, unless something newer is known of the target.
     pub fn put(&mut self, target: Target, revision: Revision, now: Time) {
         let id = target.id.clone();
-        if self.changes.is_old(&id, revision) {
+        if self.changes.is_outdated(&id, revision) {
             return;
         }
         let returned = self.vanished.remove(&id).is_some();
         let before = self.targets.get(&id);
         if before.is_none_or(|before| before.born != target.born) {
-            self.lives.insert(id.clone(), now);
+            self.first_seen.insert(id.clone(), now);
         }
         let reports_only = before.is_some_and(|before| before.differs_in_adapters_only(&target));
         if returned || !reports_only {
-            self.changes.put(&id, revision);
+            self.changes.record_change(&id, revision);
             self.digest.set(None);
         }
         self.targets.insert(id, target);
@@ -257,7 +261,7 @@
     /// A registration is gone.
     pub fn remove(&mut self, id: &TargetId, revision: Revision, now: Time) {
         self.revision = self.revision.max(revision);
-        if self.changes.is_old(id, revision) {
+        if self.changes.is_outdated(id, revision) {
             return;
         }
         if let Some(until) = self.grace_until.filter(|until| now < *until)
@@ -277,12 +281,12 @@
     fn drop_target(&mut self, id: &TargetId, revision: Revision) {
         self.vanished.remove(id);
         self.targets.remove(id);
-        self.changes.removed(id, revision);
+        self.changes.record_removal(id, revision);
         self.digest.set(None);
     }
 
     /// The store's news up to `revision` are in.
-    pub fn seen(&mut self, revision: Revision) {
+    pub fn advance_revision(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
@@ -294,7 +298,7 @@
             self.drop_target(&id, at);
         }
         let targets = &self.targets;
-        self.lives.retain(|id, _| targets.contains_key(id));
+        self.first_seen.retain(|id, _| targets.contains_key(id));
     }
 
     /// Digest of what matters to a request: two instances with the same one send to the same
@@ -332,13 +336,13 @@
 
     /// When this instance first saw the present life of a target: no earlier than it began.
     #[must_use]
-    pub fn life_since(&self, id: &TargetId) -> Option<Time> {
-        self.lives.get(id).copied()
+    pub fn incarnation_seen_at(&self, id: &TargetId) -> Option<Time> {
+        self.first_seen.get(id).copied()
     }
 
     /// Lives among `targets` that began more than `age` ago, or that `before` names as such.
     #[must_use]
-    pub fn settled(
+    pub fn settled_incarnations(
         &self,
         targets: impl Fn(&TargetId) -> bool,
         before: &[ShortHash],
@@ -348,7 +352,7 @@
         let theirs = self.targets.values().filter(|target| targets(&target.id));
         let settled = theirs.filter_map(|target| {
             let life = target.life()?;
-            let seen = self.lives.get(&target.id);
+            let seen = self.first_seen.get(&target.id);
             let old = seen.is_some_and(|seen| now.since(*seen) > age);
             (old || before.contains(&life)).then_some(life)
         });
--- a/crates/gateway/src/decide/news.rs
+++ b/crates/gateway/src/decide/relay_update.rs
@@ -1,4 +1,4 @@
-//! What a relay tells an instance that asked it.
+//! Updates that a relay sends to its subscribers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,48 +11,50 @@
 use super::rendezvous::ShortHash;
 use super::status::Status;
 
-/// Tokens in which prompts are told: an engine reads as many in a millisecond.
-const PROMPT_UNIT: u32 = 32;
+/// Unit of prompt tokens in an update. An engine processes about as many in a millisecond.
+const TOKENS_PER_PROMPT_UNIT: u32 = 32;
 
-/// News of all other instances, from a relay to one that asked it.
+/// State of all other instances, from a relay to a subscriber.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct News {
-    /// The relay itself.
+pub struct RelayUpdate {
+    /// Status of the relay.
     pub relay: Status,
-    /// Others that hold leases, or relay in the receiver's failure domain.
-    pub others: Vec<Status>,
-    /// Mean age in milliseconds of what the sums are made of.
+    /// Statuses of the instances that hold leases, and of the relays in the receiver's failure
+    /// domain.
+    pub other_statuses: Vec<Status>,
+    /// Mean age of the statuses behind the sums, in milliseconds.
     pub lag_ms: u16,
-    /// What all others have at targets.
+    /// Load of all other instances at targets.
     pub loads: Loads,
-    /// Counts of what all others have spent since the relay started, where they changed lately.
+    /// What all other instances have spent since the relay started, where that changed recently.
     pub spent: Vec<(ShortHash, i64)>,
-    /// What is left of quotas by the relay's account; for one that asked for all.
-    pub left: Vec<(ShortHash, i64)>,
-    /// Who lives; not in each packet.
-    pub alive: Option<Alive>,
+    /// What remains of quotas by the relay's count. Only in response to a request for all counts.
+    pub remaining: Vec<(ShortHash, i64)>,
+    /// Liveness of instances. Not part of every update.
+    pub liveness: Option<Liveness>,
 }
 
-/// What instances have at targets.
+/// Load of instances at targets.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Loads {
-    /// In the order of a list of targets that the receiver has, too.
+    /// In the order of a target list that the receiver has, too.
     InOrder {
         /// Digest of that list.
         digest: u32,
-        /// Requests, and prompts in units of [`PROMPT_UNIT`].
+        /// Requests, and prompt tokens in units of [`TOKENS_PER_PROMPT_UNIT`].
         loads: Vec<(u32, u32)>,
     },
-    /// By the target's name, where the lists differ.
+    /// By the target's name, for a receiver with a different list.
     ByName(Vec<(ShortHash, Load)>),
 }
 
 impl Loads {
-    /// Packs loads of all targets, in the order of the list that `digest` is of.
+    /// Packs the load of all targets in the order of the target list with this digest.
     #[must_use]
     pub fn in_order(loads: &[(ShortHash, Load)], digest: u32) -> Self {
         let loads = loads.iter().map(|(_, load)| {
-            let prompts = load.prompts.saturating_add(PROMPT_UNIT / 2) / PROMPT_UNIT;
+            let prompts =
+                load.prompts.saturating_add(TOKENS_PER_PROMPT_UNIT / 2) / TOKENS_PER_PROMPT_UNIT;
             (load.requests, prompts)
         });
         Self::InOrder {
@@ -61,14 +63,15 @@
         }
     }
 
-    /// Packs loads by name, empty ones left out.
+    /// Packs the load by target name, without empty entries.
     #[must_use]
     pub fn by_name(loads: &[(ShortHash, Load)]) -> Self {
-        let some = loads.iter().filter(|(_, load)| *load != Load::default());
-        Self::ByName(some.copied().collect())
+        let nonempty = loads.iter().filter(|(_, load)| *load != Load::default());
+        Self::ByName(nonempty.copied().collect())
     }
 
-    /// Loads by target; none if they go by a list that isn't `targets`, whose digest is `own`.
+    /// Returns the load by target, or `None` if it is ordered by another list than `targets`, whose
+    /// digest is `own`.
     #[must_use]
     pub fn unpack(self, targets: &[ShortHash], own: u32) -> Option<HashMap<ShortHash, Load>> {
         match self {
@@ -79,7 +82,7 @@
                 }
                 let loads = loads.into_iter().map(|(requests, prompts)| Load {
                     requests,
-                    prompts: prompts.saturating_mul(PROMPT_UNIT),
+                    prompts: prompts.saturating_mul(TOKENS_PER_PROMPT_UNIT),
                 });
                 Some(targets.iter().copied().zip(loads).collect())
             }
@@ -90,34 +93,34 @@
 /// An instance in a roster.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct RosterEntry {
-    /// Its name.
+    /// Hash of its name.
     pub name: ShortHash,
-    /// Its life, shortened.
-    pub life: u32,
+    /// Hash of its incarnation.
+    pub incarnation: u32,
 }
 
 impl RosterEntry {
-    /// Entry of an instance's life.
+    /// Creates the entry of an instance.
     #[must_use]
-    pub fn new(name: ShortHash, life: u64) -> Self {
+    pub fn new(name: ShortHash, incarnation: u64) -> Self {
         Self {
             name,
-            life: short_life(life),
+            incarnation: short_incarnation(incarnation),
         }
     }
 
-    /// Whether it is of this life.
+    /// Whether the entry is of this incarnation.
     #[must_use]
-    pub fn is_life(&self, life: u64) -> bool {
-        self.life == short_life(life)
+    pub fn is_incarnation(&self, incarnation: u64) -> bool {
+        self.incarnation == short_incarnation(incarnation)
     }
 }
 
-fn short_life(life: u64) -> u32 {
-    u32::try_from(xxh3_64(&life.to_le_bytes()) >> 32).unwrap_or(0)
+fn short_incarnation(incarnation: u64) -> u32 {
+    u32::try_from(xxh3_64(&incarnation.to_le_bytes()) >> 32).unwrap_or(0)
 }
 
-/// The instances that a relay knows, in an order that bits of [`Alive`] go by.
+/// The instances that a relay knows, in the order of the bits of [`Liveness`].
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Roster {
     /// The instances.
@@ -125,18 +128,18 @@
 }
 
 impl Roster {
-    /// Tells rosters apart.
+    /// Hash of the entries, by which rosters are compared.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let bytes = self.entries.iter().flat_map(|entry| {
-            let [name, life] = [entry.name.bits(), entry.life].map(u32::to_le_bytes);
-            name.into_iter().chain(life)
+            let [name, incarnation] = [entry.name.bits(), entry.incarnation].map(u32::to_le_bytes);
+            name.into_iter().chain(incarnation)
         });
         xxh3_64(&bytes.collect::<Vec<_>>())
     }
 }
 
-/// One bit for each entry of a roster.
+/// A bit for each entry of a roster.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct Bits(Vec<u8>);
@@ -165,30 +168,30 @@
     }
 }
 
-/// Who lives, by a roster.
+/// Liveness of the instances in a roster.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Alive {
+pub struct Liveness {
     /// Digest of the roster.
     pub roster: u64,
-    /// Heard lately.
+    /// It was seen recently.
     pub live: Bits,
-    /// Takes callers.
+    /// It accepts callers.
     pub ready: Bits,
-    /// The store answers it.
-    pub store_answers: Bits,
-    /// Knows of the store what the relay knows.
+    /// The store responds to it.
+    pub store_reachable: Bits,
+    /// It has the same store state as the relay.
     pub same: Bits,
 }
 
-/// The newest news from a relay, as an instance keeps them.
+/// The last update from a relay, as a subscriber keeps it.
 #[derive(Clone, Debug)]
-pub struct View {
-    /// Who told.
+pub struct RelayView {
+    /// The relay.
     pub relay: InstanceId,
-    /// When.
+    /// When it was received.
     pub at: Time,
-    /// Mean age of the sums when they came.
+    /// Mean age of the sums when they were received.
     pub lag: Duration,
-    /// What all others have at targets.
+    /// Load of all other instances at targets.
     pub loads: HashMap<ShortHash, Load>,
 }
--- a/crates/gateway/src/decide/status.rs
+++ b/crates/gateway/src/decide/status.rs
@@ -1,4 +1,4 @@
-//! What an instance tells of itself.
+//! The status that an instance sends to others.
 
 use bluebellstage_core::Revision;
 use serde::{Deserialize, Serialize};
@@ -8,87 +8,90 @@
 use super::quota::SpentWord;
 use super::rendezvous::ShortHash;
 
-/// What an instance does for the news of others.
+/// Part that an instance plays in relaying updates.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Nothing: it asks a relay.
+    /// It requests updates from a relay.
     #[default]
-    Asks,
-    /// It will relay when it has heard everyone.
-    Listens,
-    /// It passes news on between its failure domain and the others.
-    Relays,
+    #[serde(rename = "asks")]
+    Subscriber,
+    /// It becomes a relay when it has received a status of every instance.
+    #[serde(rename = "listens")]
+    Candidate,
+    /// It forwards updates between its failure domain and the others.
+    #[serde(rename = "relays")]
+    Relay,
 }
 
 impl Role {
-    /// A short name, for logs.
+    /// Name in logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
-            Self::Asks => "asks",
-            Self::Listens => "listens",
-            Self::Relays => "relays",
+            Self::Subscriber => "asks",
+            Self::Candidate => "listens",
+            Self::Relay => "relays",
         }
     }
 
-    /// Whether relays tell it all that they hear.
+    /// Whether relays send it all statuses that they receive.
     #[must_use]
-    pub const fn hears_all(self) -> bool {
-        matches!(self, Self::Listens | Self::Relays)
+    pub const fn receives_all(self) -> bool {
+        matches!(self, Self::Candidate | Self::Relay)
     }
 }
 
-/// State of an instance.
+/// Status of an instance.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Status {
-    /// Who tells.
+    /// Hash of the sender's name.
     pub from: ShortHash,
-    /// This life of it.
-    pub life: u64,
-    /// Count of its statuses in this life; a higher one is newer.
+    /// Incarnation of the sender.
+    pub incarnation: u64,
+    /// Sequence number within the incarnation; a higher one is newer.
     pub seq: u32,
-    /// Time in milliseconds for which relays have held it.
+    /// Time in milliseconds for which relays have held the status.
     pub age_ms: u16,
-    /// Time in milliseconds since this life began.
+    /// Time in milliseconds since the incarnation started.
     pub uptime_ms: u32,
-    /// It takes callers.
+    /// It accepts callers.
     pub ready: bool,
-    /// The store answers it.
-    pub store_answers: bool,
-    /// It is stopping for good and may be forgotten at once.
+    /// The store responds to it.
+    pub store_reachable: bool,
+    /// It is stopping and may be forgotten at once.
     pub ended: bool,
-    /// Whether it passes news on between its failure domain and the others.
+    /// Its part in relaying updates.
     pub role: Role,
     /// Version of its configuration.
     pub config: Revision,
     /// Revision of its list of targets.
     pub targets: Revision,
-    /// Digest of what that list says.
+    /// Digest of the contents of that list.
     pub targets_digest: u32,
-    /// Sum of the adapter versions that it knows to be announced; only grows.
+    /// Sum of the announced adapter versions that it knows; it only grows.
     pub versions: u64,
-    /// Digest of the verdicts on requests that it knows; zero if there is none.
-    pub verdicts_digest: u64,
-    /// What workspaces have spent there since it started, where that changed lately.
+    /// Digest of the quarantine decisions that it knows; zero if there are none.
+    pub quarantine_digest: u64,
+    /// What workspaces have spent on it since it started, where that changed recently.
     pub spent: Vec<SpentWord>,
-    /// What it has at each target.
+    /// Its load at each target.
     pub in_flight: Vec<(ShortHash, Load)>,
-    /// Loads from the weight store that it has under way.
+    /// Loads from the weight store in progress.
     pub loads: u16,
-    /// Adapters that wait for one on engines of its shards.
+    /// Adapters that wait for a load on engines of its shards.
     pub waiting_loads: u16,
-    /// Places for adapters on the engines of its shards.
-    pub places: Vec<(ShortHash, Places)>,
-    /// Loader shards on which it orders.
+    /// Adapter slots of the engines of its shards.
+    pub adapter_slots: Vec<(ShortHash, Places)>,
+    /// Loader shards for which it may order loads.
     pub shards: Vec<u8>,
-    /// Loader shards that it holds, also while it may not order yet.
+    /// Loader shards that it holds, including those for which it may not order loads yet.
     pub claims: Vec<u8>,
 }
 
 impl Status {
-    /// The same without what sums hold.
+    /// Returns the status without the parts that sums contain.
     #[must_use]
     pub fn without_sums(&self) -> Self {
         Self {
--- a/crates/gateway/src/decide/store_waits.rs
+++ b/crates/gateway/src/decide/store_calls.rs
@@ -11,36 +11,36 @@
 
 /// The calls about one kind of objects.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct StoreWait {
+pub struct StoreCall {
     /// When the open call was made; none: no call is open.
-    pub asked: Option<Time>,
+    pub open_since: Option<Time>,
     /// When the last answer came; none: never.
-    pub answered: Option<Time>,
+    pub last_response: Option<Time>,
 }
 
 /// The calls about all kinds that this instance has asked for.
 #[derive(Clone, Debug, Default)]
-pub struct StoreWaits {
-    by_kind: BTreeMap<Kind, StoreWait>,
+pub struct StoreCalls {
+    by_kind: BTreeMap<Kind, StoreCall>,
 }
 
-impl StoreWaits {
+impl StoreCalls {
     /// A call was made.
-    pub fn asked(&mut self, kind: Kind, now: Time) {
-        self.by_kind.entry(kind).or_default().asked = Some(now);
+    pub fn record_start(&mut self, kind: Kind, now: Time) {
+        self.by_kind.entry(kind).or_default().open_since = Some(now);
     }
 
     /// The open call has ended, with an answer of the store or without one.
-    pub fn ended(&mut self, kind: Kind, answered: bool, now: Time) {
-        let wait = self.by_kind.entry(kind).or_default();
-        wait.asked = None;
+    pub fn record_end(&mut self, kind: Kind, answered: bool, now: Time) {
+        let call = self.by_kind.entry(kind).or_default();
+        call.open_since = None;
         if answered {
-            wait.answered = Some(now);
+            call.last_response = Some(now);
         }
     }
 
     /// The calls by kind.
-    pub fn all(&self) -> impl Iterator<Item = (Kind, StoreWait)> {
-        self.by_kind.iter().map(|(kind, wait)| (*kind, *wait))
+    pub fn all(&self) -> impl Iterator<Item = (Kind, StoreCall)> {
+        self.by_kind.iter().map(|(kind, call)| (*kind, *call))
     }
 }
--- a/crates/gateway/src/decide/tables.rs
+++ b/crates/gateway/src/decide/tables.rs
@@ -25,31 +25,31 @@
 use super::residency::Residency;
 use super::retry_budget::{RetryBudget, RetryCounts};
 use super::routes::{RouteTable, Routed, pick_service};
-use super::store_waits::StoreWaits;
+use super::store_calls::StoreCalls;
 use super::versions::Versions;
 
 /// Part of a route's target latency for which a request waits for its workspace's quota: a refused
 /// caller would lose more on its way back, and an engine still answers in the rest.
-const QUOTA_PAUSE_PART: f64 = 0.4;
+const QUOTA_WAIT_FRACTION: f64 = 0.4;
 /// Longest time that a refused caller is told to wait; later it has little time left.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(3);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
 
 /// Loads on the engines whose shards an instance holds.
 #[derive(Clone, Debug, Default)]
-pub struct OwnLoads {
+pub struct LocalLoads {
     /// Loads from the weight store that are under way.
-    pub under_way: u16,
+    pub active: u16,
     /// Adapters that wait for a load.
     pub waiting: u16,
     /// Places for adapters on each engine.
-    pub places: HashMap<ShortHash, Places>,
+    pub adapter_slots: HashMap<ShortHash, Places>,
 }
 
 /// All that an instance knows.
 #[derive(Debug)]
 pub struct Tables {
     /// This instance.
-    pub me: Member,
+    pub local: Member,
     /// When the process started.
     pub started: Time,
     /// The configuration in force.
@@ -79,9 +79,9 @@
     /// Shards whose leases this instance holds, also while it may not order yet.
     pub claims: Vec<u8>,
     /// Loads on the engines whose shards this instance holds.
-    pub loads: OwnLoads,
+    pub loads: LocalLoads,
     /// Calls to the store by kind of objects.
-    pub store_waits: StoreWaits,
+    pub store_calls: StoreCalls,
     /// What is told to other instances and heard from them.
     pub exchange: Exchange,
     /// A planned stop was asked for.
@@ -91,7 +91,7 @@
     /// Suspected requests of this instance at each target.
     pub(super) suspects_at: HashMap<TargetId, u32>,
     /// Where adapters were asked for lately, so that all that wait for one wait at one engine.
-    pub(super) asked: HashMap<AdapterKey, (TargetId, Time)>,
+    pub(super) recent_engines: HashMap<AdapterKey, (TargetId, Time)>,
 }
 
 /// A request that may go on.
@@ -106,7 +106,7 @@
     /// What was charged.
     pub charge: u64,
     /// Time until the quota has room for it.
-    pub pause: Duration,
+    pub quota_wait: Duration,
     /// Rank, 0 first.
     pub rank: u8,
 }
@@ -128,9 +128,9 @@
 impl Tables {
     /// Knows nothing but itself.
     #[must_use]
-    pub fn new(me: Member, budget: RetryBudget) -> Self {
+    pub fn new(local: Member, budget: RetryBudget) -> Self {
         Self {
-            me,
+            local,
             started: Time::default(),
             routes: Arc::default(),
             registry: Registry::default(),
@@ -145,14 +145,14 @@
             queues: PromptQueues::default(),
             shards: Vec::new(),
             claims: Vec::new(),
-            loads: OwnLoads::default(),
-            store_waits: StoreWaits::default(),
+            loads: LocalLoads::default(),
+            store_calls: StoreCalls::default(),
             exchange: Exchange::default(),
             stopping: false,
             budget,
             in_flight: HashMap::new(),
             suspects_at: HashMap::new(),
-            asked: HashMap::new(),
+            recent_engines: HashMap::new(),
         }
     }
 
@@ -178,7 +178,7 @@
         if config.version <= self.routes.version() {
             return false;
         }
-        let silent = self.unheard_share(now);
+        let silent = self.unknown_spending_fraction(now);
         for workspace in &config.workspaces {
             if let Some(quota) = workspace.quota {
                 self.quotas.prepare(&workspace.name, quota, silent, now);
@@ -206,25 +206,28 @@
         let service = pick_service(routes.route(route), draw).ok_or(Refusal::NoTarget)?;
         let workspace = workspace.map(|idx| routes.workspace(idx));
         let mut charge = 0;
-        let mut pause = Duration::ZERO;
+        let mut quota_wait = Duration::ZERO;
         if let Some(workspace) = workspace
             && let Some(quota) = workspace.quota
         {
             charge = quota.unit.charge(call.tokens);
             let sharing = Sharing {
-                silent: self.unheard_share(now),
-                lag: self.news_age(now),
+                silent: self.unknown_spending_fraction(now),
+                lag: self.update_age(now),
             };
-            let longest_pause = routes.route(route).target_latency.mul_f64(QUOTA_PAUSE_PART);
+            let max_quota_wait = routes
+                .route(route)
+                .target_latency
+                .mul_f64(QUOTA_WAIT_FRACTION);
             let name = &workspace.name;
             let quotas = &mut self.quotas;
-            match quotas.charge(name, quota, charge, sharing, longest_pause, now) {
+            match quotas.charge(name, quota, charge, sharing, max_quota_wait, now) {
                 Charged::Within => {}
-                Charged::After(wait) => pause = wait,
+                Charged::After(wait) => quota_wait = wait,
                 Charged::Over { retry_after, left } => {
                     return Err(Refusal::OverQuota {
                         workspace: name.clone(),
-                        retry_after: retry_after.min(LONGEST_RETRY_AFTER),
+                        retry_after: retry_after.min(MAX_RETRY_AFTER),
                         left,
                         charge,
                         rate: quota.rate,
@@ -238,7 +241,7 @@
             service: service.clone(),
             workspace: workspace.map(|workspace| workspace.name.clone()),
             charge,
-            pause,
+            quota_wait,
             rank: rank.unwrap_or(routes.route(route).rank),
             route,
             routes,
@@ -246,7 +249,7 @@
     }
 
     /// Gives back what a request was charged that did not run.
-    pub fn not_run(&mut self, ticket: &Ticket) {
+    pub fn refund(&mut self, ticket: &Ticket) {
         if let Some(workspace) = &ticket.workspace {
             self.quotas.give_back(workspace, ticket.charge);
         }
@@ -259,25 +262,25 @@
             && peer.targets_digest != self.registry.digest();
         let newer_config = peer.config > self.routes.version();
         let other_verdicts =
-            peer.verdicts_digest != 0 && peer.verdicts_digest != self.quarantine.digest();
+            peer.quarantine_digest != 0 && peer.quarantine_digest != self.quarantine.digest();
         let newer_versions = peer.versions > self.versions.total();
         newer_config || other_targets || newer_versions || other_verdicts
     }
 
     /// Takes one repeat out of the service's budget; false if there is none left.
     pub fn take_retry(&mut self, service: &ServiceId, now: Time) -> bool {
-        let sharing = self.peers.sharing(now);
+        let sharing = self.peers.sharing_count(now);
         self.retries.take(service, self.budget, sharing, now)
     }
 
     /// Requests of this instance at a target.
     #[must_use]
-    pub fn own_in_flight(&self, target: &TargetId) -> u32 {
+    pub fn local_in_flight(&self, target: &TargetId) -> u32 {
         self.in_flight.get(target).copied().unwrap_or(0)
     }
 
     /// What this instance has at each target.
-    pub fn own_loads(&self) -> impl Iterator<Item = (&TargetId, Load)> {
+    pub fn local_loads(&self) -> impl Iterator<Item = (&TargetId, Load)> {
         self.in_flight.iter().map(|(target, requests)| {
             let load = Load {
                 requests: *requests,
@@ -288,19 +291,19 @@
     }
 
     /// A request goes to an engine; it waits there until it begins.
-    pub fn sent_prompt(&mut self, target: &TargetId, call: &Call, now: Time) -> WaitingKey {
+    pub fn record_prompt(&mut self, target: &TargetId, call: &Call, now: Time) -> WaitingKey {
         let others = self.peers.load(ShortHash::of(target.as_str())).prompts;
         self.queues
             .sent(target, call.prompt.0, u64::from(others), now)
     }
 
     /// A request goes to a target.
-    pub fn begin(&mut self, target: &TargetId) {
+    pub fn start_request(&mut self, target: &TargetId) {
         *self.in_flight.entry(target.clone()).or_default() += 1;
     }
 
     /// A request has left a target.
-    pub fn end(&mut self, target: &TargetId) {
+    pub fn end_request(&mut self, target: &TargetId) {
         if let Some(count) = self.in_flight.get_mut(target) {
             *count -= 1;
             if *count == 0 {
@@ -310,7 +313,7 @@
     }
 
     /// A suspected request goes to a target.
-    pub fn begin_suspect(&mut self, target: &TargetId) {
+    pub fn start_suspect(&mut self, target: &TargetId) {
         *self.suspects_at.entry(target.clone()).or_default() += 1;
     }
 
@@ -336,7 +339,8 @@
             self.quotas.close(&target);
         }
         self.residency.keep(|target| registry.get(target).is_some());
-        self.asked.retain(|_, (_, at)| now.since(*at) < ASKED_LASTS);
+        self.recent_engines
+            .retain(|_, (_, at)| now.since(*at) < ASKED_LASTS);
         self.queues.keep(|target| registry.get(target).is_some());
     }
 
--- a/crates/gateway/src/decide/versions.rs
+++ b/crates/gateway/src/decide/versions.rs
@@ -18,17 +18,17 @@
 ///
 /// It waits there behind others' prompts and may begin when the promised 5 s are over. The rest of them
 /// is for the announcement's way here and for the engine to see the connection closed.
-const TAKEN_BACK_AFTER: Duration = Duration::from_millis(3_800);
+const WITHDRAWAL_THRESHOLD: Duration = Duration::from_millis(3_800);
 
 /// Age from which an announcement is as good as made long ago; stands for an unknown age, too.
-pub const LONG_AGO: Duration = TAKEN_BACK_AFTER;
+pub const MAX_ANNOUNCEMENT_AGE: Duration = WITHDRAWAL_THRESHOLD;
 
 /// An announced version with its age, for peers.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Announcement {
     /// The adapter and its version.
     pub adapter: AdapterAt,
-    /// Time since it was announced; [`LONG_AGO`] at most.
+    /// Time since it was announced; [`MAX_ANNOUNCEMENT_AGE`] at most.
     pub age: Duration,
 }
 
@@ -44,12 +44,12 @@
 struct Announced {
     version: AdapterVersion,
     /// When requests that an engine has not begun on an older version are taken back.
-    taken_back: Time,
+    withdraw_at: Time,
 }
 
 impl Announced {
     fn age(&self, now: Time) -> Duration {
-        TAKEN_BACK_AFTER.saturating_sub(self.taken_back.since(now))
+        WITHDRAWAL_THRESHOLD.saturating_sub(self.withdraw_at.since(now))
     }
 }
 
@@ -63,10 +63,10 @@
         }
         known.push(Announced {
             version: news.version,
-            taken_back: now + TAKEN_BACK_AFTER.saturating_sub(age),
+            withdraw_at: now + WITHDRAWAL_THRESHOLD.saturating_sub(age),
         });
         known.sort_by_key(|known| known.version);
-        forget(known, now);
+        prune(known, now);
         newest.is_none_or(|newest| news.version > newest)
     }
 
@@ -106,15 +106,15 @@
 
     /// Whether a request may be sent to `version` on an engine that begins it within `wait`.
     #[must_use]
-    pub fn may_begin(
+    pub fn may_start(
         &self,
         key: &AdapterKey,
         version: AdapterVersion,
         wait: Duration,
         now: Time,
     ) -> bool {
-        let margin = TAKEN_BACK_AFTER.saturating_sub(OLD_VERSION_GRACE);
-        let by = self.must_begin_by(key, version);
+        let margin = WITHDRAWAL_THRESHOLD.saturating_sub(OLD_VERSION_GRACE);
+        let by = self.start_deadline(key, version);
         by.is_none_or(|by| now + wait + margin < by)
     }
 
@@ -122,15 +122,15 @@
     ///
     /// The first version that replaced it counts: a later announcement gives it no new grace.
     #[must_use]
-    pub fn must_begin_by(&self, key: &AdapterKey, version: AdapterVersion) -> Option<Time> {
+    pub fn start_deadline(&self, key: &AdapterKey, version: AdapterVersion) -> Option<Time> {
         let known = self.announced.get(key)?.iter();
         let newer = known.filter(|known| known.version > version);
-        newer.map(|known| known.taken_back).min()
+        newer.map(|known| known.withdraw_at).min()
     }
 }
 
 /// Drops announcements before one whose grace is over: what it replaced is out of date anyway.
-fn forget(known: &mut Vec<Announced>, now: Time) {
-    let over = known.iter().rposition(|known| known.taken_back <= now);
+fn prune(known: &mut Vec<Announced>, now: Time) {
+    let over = known.iter().rposition(|known| known.withdraw_at <= now);
     known.drain(..over.unwrap_or(0));
 }
--- a/crates/gateway/src/net/answers.rs
+++ b/crates/gateway/src/net/answers.rs
@@ -63,19 +63,19 @@
     pub(super) fn own_answer(&self, found: &Found<E>) -> Response<AnswerBody> {
         let (status, message, after) = match found {
             Found::NotRun(why) => {
-                self.node.tables().not_run(&self.ticket);
+                self.node.tables().refund(&self.ticket);
                 let after = Some(spread_retry_after());
                 (StatusCode::SERVICE_UNAVAILABLE, *why, after)
             }
             Found::Late(excess) => {
-                self.node.tables().not_run(&self.ticket);
+                self.node.tables().refund(&self.ticket);
                 let after = Some(*excess + spread_retry_after());
                 (StatusCode::SERVICE_UNAVAILABLE, TOO_LATE, after)
             }
             Found::MayHaveRun(why) => (StatusCode::BAD_GATEWAY, *why, None),
             Found::Quarantined => {
                 if self.runs == 0 {
-                    self.node.tables().not_run(&self.ticket);
+                    self.node.tables().refund(&self.ticket);
                 }
                 (StatusCode::BAD_GATEWAY, QUARANTINED, None)
             }
@@ -130,7 +130,7 @@
                 ("charge", &self.ticket.charge.to_string()),
                 ("sends", &self.sends.to_string()),
                 ("target", &target),
-                ("pause_ms", &millis(self.ticket.pause)),
+                ("pause_ms", &millis(self.ticket.quota_wait)),
                 ("load_ms", &millis(self.load_waited)),
                 ("target_ms", &millis(at_target)),
                 ("aim_ms", &millis(self.ticket.route().target_latency)),
--- a/crates/gateway/src/net/attempt.rs
+++ b/crates/gateway/src/net/attempt.rs
@@ -47,9 +47,9 @@
 impl<E: Edge> Flight<E> {
     fn begin(node: &Arc<Node<E>>, target: &TargetId, sending: Sending<'_>) -> Self {
         let mut tables = node.tables();
-        tables.begin(target);
+        tables.start_request(target);
         if sending.suspect {
-            tables.begin_suspect(target);
+            tables.start_suspect(target);
         }
         if sending.trial {
             tables.health.trial(target);
@@ -60,7 +60,7 @@
         }
         let call = sending.call;
         let prompts = call.wanted.is_some();
-        let waiting = prompts.then(|| tables.sent_prompt(target, call, now));
+        let waiting = prompts.then(|| tables.record_prompt(target, call, now));
         drop(tables);
         let flight = Self {
             node: Arc::clone(node),
@@ -142,7 +142,7 @@
 impl<E: Edge> Drop for Flight<E> {
     fn drop(&mut self) {
         let mut tables = self.node.tables();
-        tables.end(&self.target);
+        tables.end_request(&self.target);
         if self.suspect {
             tables.end_suspect(&self.target);
         }
@@ -280,7 +280,7 @@
 /// Takes in what the answer to a request that was `sent` then says of its target's limit.
 fn note_limit<E: Edge>(node: &Node<E>, target: &TargetId, said: Said, sent: Time) {
     let now = node.now();
-    let change = node.tables().answer_said(target, said, sent, now);
+    let change = node.tables().record_reported_limit(target, said, sent, now);
     let id = target.to_string();
     if said == Said::Malformed {
         event(LogEvent::LimitMalformed, &[("target", &id)]);
@@ -305,7 +305,7 @@
         return std::future::pending().await;
     };
     loop {
-        let by = node.tables().versions.must_begin_by(key, version);
+        let by = node.tables().versions.start_deadline(key, version);
         let left = by.map_or(VERSION_LOOK, |by| by.since(node.now()).min(VERSION_LOOK));
         if left.is_zero() {
             return;
--- a/crates/gateway/src/net/control.rs
+++ b/crates/gateway/src/net/control.rs
@@ -162,7 +162,7 @@
         copy.config = Some(tables.routes.config().as_ref().clone());
     }
     if targets {
-        let mut registry = tables.registry.copied(have.targets, now);
+        let mut registry = tables.registry.copy_since(have.targets, now);
         // What an engine holds changes all the time, and its loader tells it; one that starts has heard
         // nothing of it.
         let starts = have.targets == Revision::default();
@@ -182,7 +182,7 @@
     }
     if !have.members {
         let peers = tables.peers.all().map(|peer| peer.member.clone());
-        copy.members = peers.chain([tables.me.clone()]).collect();
+        copy.members = peers.chain([tables.local.clone()]).collect();
     }
     copy
 }
--- a/crates/gateway/src/net/copying.rs
+++ b/crates/gateway/src/net/copying.rs
@@ -78,8 +78,8 @@
     newer.shuffle(&mut rand::rng());
     // One that has just lost the store keeps targets for a while that the others know to be gone.
     newer.sort_by_key(|peer| {
-        let away = peer.member.failure_domain != tables.me.failure_domain;
-        (!peer.store_answers, away)
+        let away = peer.member.failure_domain != tables.local.failure_domain;
+        (!peer.store_reachable, away)
     });
     let addresses = newer.iter().map(|peer| peer.member.control);
     addresses.take(COPY_SOURCES).collect()
@@ -89,12 +89,12 @@
 fn starters<E: Edge>(node: &Node<E>) -> Vec<SocketAddr> {
     let seeds = node.terms().seeds.clone();
     let tables = node.tables();
-    let mut givers = tables.givers(node.now());
+    let mut givers = tables.copy_sources(node.now());
     let first = givers.len().min(START_SOURCES);
     givers[..first].shuffle(&mut rand::rng());
     givers.truncate(COPY_SOURCES);
     givers.extend(seeds);
-    let me = tables.me.control;
+    let me = tables.local.control;
     givers.retain(|giver| *giver != me);
     givers
 }
@@ -102,7 +102,7 @@
 fn have(tables: &Tables) -> Have {
     Have {
         config: tables.routes.version(),
-        targets: tables.registry.copied_up_to(),
+        targets: tables.registry.copied_revision(),
         targets_digest: tables.registry.digest(),
         versions: tables.versions.total(),
         verdicts_digest: tables.quarantine.digest(),
@@ -139,8 +139,8 @@
         tables.quarantine.adopt(verdict, age, now);
     }
     for member in copy.members {
-        if member.name != tables.me.name {
-            tables.peers.registered(member);
+        if member.name != tables.local.name {
+            tables.peers.register(member);
         }
     }
     if let Some(targets) = copy.targets {
@@ -148,7 +148,7 @@
         for target in holding.filter(|target| !target.adapters.is_empty()) {
             tables.residency.registered(target, now);
         }
-        tables.registry.copy(targets, now);
+        tables.registry.apply_copy(targets, now);
     }
     drop(tables);
     node.changed.notify_waiters();
--- a/crates/gateway/src/net/directory.rs
+++ b/crates/gateway/src/net/directory.rs
@@ -52,7 +52,7 @@
 ///
 /// A caller that connects within its failure domain pays no bytes between them.
 fn addresses(tables: &Tables, domain: Option<&str>, now: Time) -> Vec<SocketAddr> {
-    let own = tables.ready().then_some(&tables.me);
+    let own = tables.ready().then_some(&tables.local);
     let peers = tables.peers.live(now).filter(|peer| peer.ready);
     let all = own
         .into_iter()
--- a/crates/gateway/src/net/follow.rs
+++ b/crates/gateway/src/net/follow.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use crate::decide::follower::{Ask, Follower};
+use crate::decide::follower::{Follower, StoreRequest};
 use crate::decide::kind::Kind;
 use crate::edge::{Edge, Listing, ObjectStore};
 use crate::error::StoreError;
@@ -47,11 +47,11 @@
                 continue;
             }
             if kind == Kind::Targets && follower.after().is_none() {
-                follower.copied(node.tables().registry.revision());
+                follower.record_copy(node.tables().registry.revision());
             }
         }
         let begun = Instant::now();
-        let pause = match call(&node, kind, follower.ask()).await {
+        let pause = match call(&node, kind, follower.next_request()).await {
             Ok(listing) => {
                 if std::mem::take(&mut lost) {
                     event(LogEvent::StoreBack, &[("kind", kind.name())]);
@@ -59,7 +59,7 @@
                 take(&node, &mut follower, listing)
             }
             Err(StoreError::HistoryGone) => {
-                follower.history_gone();
+                follower.record_history_gone();
                 Duration::ZERO
             }
             Err(err) => {
@@ -85,10 +85,10 @@
     let kind = follower.kind();
     if kind == Kind::Targets {
         let now = node.now();
-        node.tables().registry.heard_store(now);
+        node.tables().registry.record_store_response(now);
     }
     let whole = follower.after().is_none();
-    let pause = follower.answered(listing.revision, !listing.objects.is_empty());
+    let pause = follower.record_response(listing.revision, !listing.objects.is_empty());
     apply(node, kind, listing, whole);
     pause
 }
@@ -97,9 +97,9 @@
 fn miss<E: Edge>(node: &Node<E>, follower: &mut Follower, took: Duration) -> Duration {
     if follower.kind() == Kind::Targets {
         let now = node.now();
-        node.tables().registry.store_lost(now);
+        node.tables().registry.record_store_failure(now);
     }
-    follower.failed(took, rand::rng().random_range(SPREAD))
+    follower.record_failure(took, rand::rng().random_range(SPREAD))
 }
 
 /// Whether this instance follows the store now; the list of targets keeps since when.
@@ -108,17 +108,21 @@
     let mut tables = node.tables();
     let follows = tables.follows_store(now);
     if kind == Kind::Targets {
-        tables.registry.follow(follows, now);
+        tables.registry.set_following(follows, now);
     }
     follows
 }
 
-async fn call<E: Edge>(node: &Node<E>, kind: Kind, ask: Ask) -> Result<Listing, StoreError> {
+async fn call<E: Edge>(
+    node: &Node<E>,
+    kind: Kind,
+    ask: StoreRequest,
+) -> Result<Listing, StoreError> {
     let asked = node.now();
-    node.tables().store_waits.asked(kind, asked);
+    node.tables().store_calls.record_start(kind, asked);
     let news = match ask {
-        Ask::List => node.store.list(kind).await,
-        Ask::Watch { after, wait } => node.store.watch(kind, after, wait).await,
+        StoreRequest::List => node.store.list(kind).await,
+        StoreRequest::Watch { after, wait } => node.store.watch(kind, after, wait).await,
     };
     tell_ended(node, kind, ask, &news, asked);
     news
@@ -132,7 +136,7 @@
 fn tell_ended<E: Edge>(
     node: &Node<E>,
     kind: Kind,
-    ask: Ask,
+    ask: StoreRequest,
     news: &Result<Listing, StoreError>,
     asked: Time,
 ) {
@@ -144,10 +148,10 @@
     };
     node.metrics.store_called(kind, outcome);
     let answered = matches!(news, Ok(_) | Err(StoreError::HistoryGone));
-    node.tables().store_waits.ended(kind, answered, now);
+    node.tables().store_calls.record_end(kind, answered, now);
     let (call, after) = match ask {
-        Ask::List => ("list", Revision::default()),
-        Ask::Watch { after, .. } => ("watch", after),
+        StoreRequest::List => ("list", Revision::default()),
+        StoreRequest::Watch { after, .. } => ("watch", after),
     };
     let after = after.to_string();
     let waited = now.since(asked).as_millis().to_string();
--- a/crates/gateway/src/net/front.rs
+++ b/crates/gateway/src/net/front.rs
@@ -117,12 +117,12 @@
     let body = match read_body(&node, body).await {
         Ok(body) => body,
         Err(status) => {
-            node.tables().not_run(&ticket);
+            node.tables().refund(&ticket);
             return answer(&node.protocol, status, "the body is too long or cut", None);
         }
     };
-    if !ticket.pause.is_zero() {
-        tokio::time::sleep(ticket.pause).await;
+    if !ticket.quota_wait.is_zero() {
+        tokio::time::sleep(ticket.quota_wait).await;
     }
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let fingerprint = Fingerprint::of(ticket.workspace.as_ref(), path, &body);
--- a/crates/gateway/src/net/gossip.rs
+++ b/crates/gateway/src/net/gossip.rs
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-use crate::decide::exchange::{Message, ROUND, Telling};
+use crate::decide::exchange::{Message, OutgoingMessage, ROUND_INTERVAL};
 use crate::decide::status::Role;
 use crate::decide::tables::shard_of;
 use crate::edge::Edge;
@@ -49,17 +49,17 @@
         if introductions < INTRODUCTIONS && round % u64::from(INTRODUCE_EVERY) == 0 {
             introductions += 1;
             let member = Box::new(node.settings.member.clone());
-            let packet = Packet::Exchange(Message::Introduction(member));
+            let packet = Packet::Exchange(Message::MemberInfo(member));
             node.send(Receiver::All, packet);
         }
         let role = node.tables().exchange.role();
-        let tellings = node.tables().tell_round(node.now());
+        let outgoing = node.tables().exchange_round(node.now());
         note_role(node, role);
-        for Telling { to, message } in tellings {
+        for OutgoingMessage { to, message } in outgoing {
             send_all(node, socket, &Packet::Exchange(message), &to).await;
         }
-        quarantine::tell_again(node, ROUND);
-        tokio::time::sleep(ROUND).await;
+        quarantine::tell_again(node, ROUND_INTERVAL);
+        tokio::time::sleep(ROUND_INTERVAL).await;
     }
 }
 
@@ -79,7 +79,7 @@
 
 /// Tells all peers that this instance ends.
 pub(super) async fn tell_end<E: Edge>(node: &Node<E>, socket: &UdpSocket) {
-    let Telling { to, message } = node.tables().tell_end(node.now());
+    let OutgoingMessage { to, message } = node.tables().shutdown_message(node.now());
     send_all(node, socket, &Packet::Exchange(message), &to).await;
 }
 
@@ -119,8 +119,8 @@
                     let peers = tables.peers.all();
                     peers.map(|peer| peer.member.gossip).collect()
                 }
-                Receiver::Fleet => tables.fleet(node.now()),
-                Receiver::Readers => tables.readers(),
+                Receiver::Fleet => tables.broadcast_addresses(node.now()),
+                Receiver::Readers => tables.subscribers(),
             }
         };
         send_all(node, socket, &packet, &addresses).await;
@@ -213,7 +213,7 @@
     match packet {
         Packet::Exchange(message) => {
             let mut tables = node.tables();
-            let answers = tables.take_message(message, from, now);
+            let answers = tables.receive_message(message, from, now);
             let behind = tables
                 .peers
                 .at(from)
@@ -245,7 +245,7 @@
             news.push(word);
         }
     }
-    let relays = tables.exchange.readers() > 0;
+    let relays = tables.exchange.subscriber_count() > 0;
     drop(tables);
     if news.is_empty() {
         return;
--- a/crates/gateway/src/net/leases.rs
+++ b/crates/gateway/src/net/leases.rs
@@ -6,11 +6,11 @@
 
 use bluebellstage_core::{InstanceId, Revision, TargetId, Time};
 
-use crate::decide::asking::lease_key;
 use crate::decide::lease::{LeaseRecord, LeaseStep, SHARDS, ShardLease};
 use crate::decide::loader::LATE_ORDER;
 use crate::decide::peers::Peer;
 use crate::decide::rendezvous::ShortHash;
+use crate::decide::store_access::lease_key;
 use crate::decide::tables::shard_of;
 use crate::edge::{Content, Edge, Kind, ObjectStore};
 use crate::error::StoreError;
@@ -121,7 +121,9 @@
 fn settled<E: Edge>(node: &Node<E>, shard: u8, before: &[ShortHash], now: Time) -> Vec<ShortHash> {
     let ours = |target: &TargetId| shard_of(target) == shard;
     let tables = node.tables();
-    tables.registry.settled(ours, before, LATE_ORDER, now)
+    tables
+        .registry
+        .settled_incarnations(ours, before, LATE_ORDER, now)
 }
 
 fn holds<E: Edge>(node: &Node<E>, shard: u8) -> bool {
@@ -132,24 +134,24 @@
 /// yet; so the shards spread over instances, and one that is cut from the store is replaced.
 fn wanted<E: Edge>(node: &Node<E>, shard: u8, now: Time) -> bool {
     let tables = node.tables();
-    if !tables.ready() || !tables.registry.store_answers(now) {
+    if !tables.ready() || !tables.registry.is_store_reachable(now) {
         return false;
     }
-    let able = |peer: &&Peer| peer.ready && peer.store_answers;
+    let able = |peer: &&Peer| peer.ready && peer.store_reachable;
     let holder = tables.peers.holder(shard, now);
-    if holder.is_some_and(|peer| peer.store_answers) {
+    if holder.is_some_and(|peer| peer.store_reachable) {
         return false;
     }
     let peers = tables.peers.live(now).filter(able);
     let peers = peers.map(|peer| (&peer.member, peer.shards.is_empty()));
     let all = peers
-        .chain([(&tables.me, tables.shards.is_empty())])
+        .chain([(&tables.local, tables.shards.is_empty())])
         .collect::<Vec<_>>();
     let any_free = all.iter().any(|(_, free)| *free);
     let candidates = all.iter().filter(|(_, free)| *free || !any_free);
     let key = lease_key(shard);
     let first = candidates.max_by_key(|(member, _)| member.precedence(key));
-    first.is_some_and(|(member, _)| member.name == tables.me.name)
+    first.is_some_and(|(member, _)| member.name == tables.local.name)
 }
 
 async fn read<E: Edge>(node: &Node<E>, shard: u8) {
--- a/crates/gateway/src/net/loaders.rs
+++ b/crates/gateway/src/net/loaders.rs
@@ -11,7 +11,7 @@
 use crate::decide::loader::{LoadStep, Loader, Order, OrderAnswer, OrderKind};
 use crate::decide::rendezvous::ShortHash;
 use crate::decide::residency::WordOrder;
-use crate::decide::tables::{OwnLoads, Tables, shard_of};
+use crate::decide::tables::{LocalLoads, Tables, shard_of};
 use crate::decide::target::Target;
 use crate::edge::{Edge, Protocol};
 use crate::packet::{Holdings, Packet, Wish, WishKind};
@@ -125,7 +125,7 @@
         Some((Holdings::new(id.clone(), order, adapters), askers))
     }
 
-    fn own_loads(&self, now: Time) -> OwnLoads {
+    fn own_loads(&self, now: Time) -> LocalLoads {
         let (under_way, waiting) = self.load();
         let running = self.lock();
         let active = running.iter().filter(|(_, entry)| entry.active);
@@ -133,10 +133,10 @@
             let hash = ShortHash::of(id.as_str());
             (hash, entry.loader.places(now))
         });
-        OwnLoads {
-            under_way: u16::try_from(under_way).unwrap_or(u16::MAX),
+        LocalLoads {
+            active: u16::try_from(under_way).unwrap_or(u16::MAX),
             waiting: u16::try_from(waiting).unwrap_or(u16::MAX),
-            places: places.collect(),
+            adapter_slots: places.collect(),
         }
     }
 
@@ -179,7 +179,7 @@
             continue;
         }
         let known = target.life().is_some_and(|life| settled.contains(&life));
-        let seen = tables.registry.life_since(&target.id);
+        let seen = tables.registry.incarnation_seen_at(&target.id);
         let seen = seen.filter(|_| !known);
         let shown = running.values().map(|entry| entry.loader.copies()).min();
         let mut loader = Loader::new(slots);
@@ -319,7 +319,7 @@
     let slots = holders.iter().map(|other| other.slots).sum::<u32>();
     let busy = holders.iter().map(|other| {
         let hash = ShortHash::of(other.id.as_str());
-        tables.own_in_flight(&other.id) + tables.peers.load(hash).requests
+        tables.local_in_flight(&other.id) + tables.peers.load(hash).requests
     });
     let fill = f64::from(busy.sum::<u32>()) / f64::from(slots.max(1));
     let needed = holders.len() < LEAST_WITH_MODEL || fill > FETCH_MODEL_ABOVE;
--- a/crates/gateway/src/net/metrics.rs
+++ b/crates/gateway/src/net/metrics.rs
@@ -187,8 +187,10 @@
     }
 
     fn record_store_waits(&self, tables: &Tables, now: Time) {
-        for (kind, wait) in tables.store_waits.all() {
-            let age = wait.asked.map_or(Duration::ZERO, |asked| now.since(asked));
+        for (kind, wait) in tables.store_calls.all() {
+            let age = wait
+                .open_since
+                .map_or(Duration::ZERO, |asked| now.since(asked));
             let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
             let kind = KeyValue::new("kind", kind.name());
             self.store_open_call.record(age, &[kind]);
@@ -207,9 +209,10 @@
         self.peers
             .record(count(tables.peers.live(now).count()), &[]);
         self.connections.record(count(connections), &[]);
-        let age = u64::try_from(tables.news_age(now).as_millis()).unwrap_or(u64::MAX);
+        let age = u64::try_from(tables.update_age(now).as_millis()).unwrap_or(u64::MAX);
         self.news_age.record(age, &[]);
-        self.readers.record(count(tables.exchange.readers()), &[]);
+        self.readers
+            .record(count(tables.exchange.subscriber_count()), &[]);
         self.shards.record(count(tables.shards.len()), &[]);
         self.instruments.text()
     }
--- a/crates/gateway/src/net/quarantine.rs
+++ b/crates/gateway/src/net/quarantine.rs
@@ -92,7 +92,7 @@
             news.push(word.clone());
         }
     }
-    if tables.exchange.readers() > 0 {
+    if tables.exchange.subscriber_count() > 0 {
         tables.quarantine.pass_on(news, now);
     }
 }
--- a/crates/gateway/src/net/sync.rs
+++ b/crates/gateway/src/net/sync.rs
@@ -7,7 +7,7 @@
 
 use crate::decide::adapter::AdapterAt;
 use crate::decide::target::Target;
-use crate::decide::versions::LONG_AGO;
+use crate::decide::versions::MAX_ANNOUNCEMENT_AGE;
 use crate::edge::{Content, Edge, Kind, Listing, Object, ObjectStore};
 use crate::error::StoreError;
 
@@ -26,12 +26,16 @@
         return;
     }
     // A list doesn't say since when its objects are there.
-    let age = if whole { LONG_AGO } else { Duration::ZERO };
+    let age = if whole {
+        MAX_ANNOUNCEMENT_AGE
+    } else {
+        Duration::ZERO
+    };
     for object in listing.objects {
         apply_one(node, kind, object, age);
     }
     if kind == Kind::Targets {
-        node.tables().registry.seen(revision);
+        node.tables().registry.advance_revision(revision);
     }
     node.changed.notify_waiters();
 }
@@ -84,8 +88,8 @@
         }
         Some(Content::Member(member)) => {
             let mut tables = node.tables();
-            if member.name != tables.me.name {
-                tables.peers.registered(*member);
+            if member.name != tables.local.name {
+                tables.peers.register(*member);
             }
         }
         Some(Content::Malformed(cause)) => {
@@ -114,7 +118,7 @@
         }
         Kind::Members => {
             if let Ok(name) = InstanceId::try_from(name) {
-                node.tables().peers.unregistered(&name, now);
+                node.tables().peers.unregister(&name, now);
             }
         }
         Kind::Config | Kind::AdapterVersions | Kind::Leases | Kind::Verdicts => {}
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use bluebellstage_gateway::decide::exchange::DIRECT_FLEET;
+use bluebellstage_gateway::decide::exchange::MAX_DIRECT_FLEET;
 use bluebellstage_gateway::packet::Packet;
 use support::fleet::{Fleet, Network};
 use support::quota;
@@ -26,7 +26,7 @@
 fn everyone_knows_what_all_others_have_at_each_target() {
     for (count, domains) in FLEETS {
         let mut fleet = settled(count, domains, 1);
-        fleet.scatter(count * 2);
+        fleet.add_random_requests(count * 2);
         fleet.run_ms(1_000);
         assert_eq!(fleet.first_error(), None, "{count} instances");
     }
@@ -36,10 +36,10 @@
 fn news_cross_a_network_that_loses_doubles_and_reorders() {
     for (count, domains) in FLEETS {
         let mut fleet = settled(count, domains, 2);
-        fleet.network = Network::ROUGH;
-        fleet.scatter(count * 2);
+        fleet.network = Network::UNRELIABLE;
+        fleet.add_random_requests(count * 2);
         fleet.run_ms(2_500);
-        fleet.network = Network::CALM;
+        fleet.network = Network::RELIABLE;
         fleet.run_ms(500);
         assert_eq!(fleet.first_error(), None, "{count} instances");
     }
@@ -50,7 +50,11 @@
     for (count, domains) in FLEETS {
         let fleet = settled(count, domains, 3);
         let relays = fleet.relays();
-        let expected = if count > DIRECT_FLEET { domains * 2 } else { 0 };
+        let expected = if count > MAX_DIRECT_FLEET {
+            domains * 2
+        } else {
+            0
+        };
         assert_eq!(relays.len(), expected, "{count} instances");
     }
 }
@@ -59,13 +63,13 @@
 /// of some that are long gone stand.
 #[test]
 fn a_fleet_that_is_large_to_some_of_it_knows_all() {
-    for haunted in [1, 5, 12] {
+    for misled in [1, 5, 12] {
         let mut fleet = Fleet::start(12, 3, 16);
-        (0..haunted).for_each(|idx| fleet.haunt(idx, 10));
+        (0..misled).for_each(|idx| fleet.add_stale_registrations(idx, 10));
         fleet.run_ms(SETTLED_MS);
-        fleet.scatter(30);
+        fleet.add_random_requests(30);
         fleet.run_ms(1_000);
-        assert_eq!(fleet.first_error(), None, "large to {haunted}");
+        assert_eq!(fleet.first_error(), None, "large to {misled}");
     }
 }
 
@@ -74,8 +78,8 @@
     let mut fleet = settled(count, domains, 4);
     let mut longest = 0;
     for round in 0..20 {
-        let idx = fleet.draw(count);
-        fleet.load(idx, 0, true);
+        let idx = fleet.random_below(count);
+        fleet.change_load(idx, 0, true);
         let mut passed = 0;
         loop {
             let unaware = (0..count).filter(|other| {
@@ -112,7 +116,7 @@
 fn relays_that_die_are_replaced_and_nothing_is_lost_from_the_sums() {
     for (count, domains) in [(40, 3), (195, 5)] {
         let mut fleet = settled(count, domains, 5);
-        fleet.scatter(count * 2);
+        fleet.add_random_requests(count * 2);
         fleet.run_ms(500);
         for idx in fleet.relays() {
             fleet.kill(idx);
@@ -133,7 +137,7 @@
     fleet.kill(first);
     for _ in 0..40 {
         fleet.run_ms(50);
-        let least = (0..75).filter(|idx| fleet.runs(*idx));
+        let least = (0..75).filter(|idx| fleet.is_running(*idx));
         let least = least.map(|idx| fleet.live_peers(idx)).min().unwrap();
         assert!(least >= 73, "{least} live peers");
     }
@@ -143,17 +147,17 @@
 #[test]
 fn a_thawed_relay_does_no_harm() {
     let mut fleet = settled(75, 3, 7);
-    fleet.scatter(100);
+    fleet.add_random_requests(100);
     fleet.run_ms(500);
     let [first, ..] = fleet.relays()[..] else {
         panic!("no relay");
     };
-    fleet.freeze(first);
+    fleet.suspend(first);
     fleet.run_ms(3_000);
-    fleet.scatter(50);
+    fleet.add_random_requests(50);
     fleet.run_ms(1_000);
     assert_eq!(fleet.first_error(), None, "while it is frozen");
-    fleet.thaw(first);
+    fleet.resume(first);
     // It looks for a relay first; what it has itself is news to the others then.
     fleet.run_ms(800);
     for _ in 0..20 {
@@ -167,17 +171,17 @@
 fn a_domain_cut_one_way_or_both_ways_goes_on_and_comes_back() {
     for both in [false, true] {
         let mut fleet = settled(60, 3, 8);
-        fleet.scatter(100);
+        fleet.add_random_requests(100);
         fleet.run_ms(500);
         let mut cuts = vec![(0, 1), (0, 2)];
         if both {
             cuts.extend([(1, 0), (2, 0)]);
         }
-        fleet.cuts = cuts;
+        fleet.partitions = cuts;
         fleet.run_ms(4_000);
         for idx in 0..60 {
             let near = fleet.tables(idx).peers.live(fleet.now);
-            let own = &fleet.tables(idx).me.failure_domain;
+            let own = &fleet.tables(idx).local.failure_domain;
             let near = near.filter(|peer| peer.member.failure_domain == *own);
             assert_eq!(
                 near.count(),
@@ -190,7 +194,7 @@
             39,
             "the cut domain is down, both ways: {both}"
         );
-        fleet.cuts.clear();
+        fleet.partitions.clear();
         fleet.run_ms(2_000);
         assert_eq!(fleet.first_error(), None, "both ways: {both}");
     }
@@ -201,13 +205,13 @@
 fn a_fleet_that_restarts_at_once_settles_again() {
     for moved in [false, true] {
         let mut fleet = settled(60, 3, 9);
-        fleet.scatter(100);
+        fleet.add_random_requests(100);
         fleet.run_ms(500);
         for idx in 0..60 {
             fleet.restart(idx, moved);
         }
         fleet.run_ms(SETTLED_MS);
-        fleet.scatter(100);
+        fleet.add_random_requests(100);
         fleet.run_ms(1_000);
         assert_eq!(fleet.first_error(), None, "moved: {moved}");
         assert_eq!(fleet.relays().len(), 6, "moved: {moved}");
@@ -223,11 +227,13 @@
             fleet.spend(idx, 1);
         }
         fleet.run_ms(2_000);
-        let before = (0..count).map(|idx| fleet.left(idx)).collect::<Vec<_>>();
+        let before = (0..count)
+            .map(|idx| fleet.remaining(idx))
+            .collect::<Vec<_>>();
         let mut spent = 0;
         for round in 0..3 {
             for idx in (0..count)
-                .filter(|idx| fleet.runs(*idx))
+                .filter(|idx| fleet.is_running(*idx))
                 .collect::<Vec<_>>()
             {
                 fleet.spend(idx, 1_000);
@@ -242,8 +248,8 @@
             }
             fleet.run_ms(3_000);
         }
-        for idx in (0..count).filter(|idx| fleet.runs(*idx)) {
-            let counted = before[idx] - fleet.left(idx);
+        for idx in (0..count).filter(|idx| fleet.is_running(*idx)) {
+            let counted = before[idx] - fleet.remaining(idx);
             let off = (counted - spent).abs();
             assert!(off <= 20, "i{idx} of {count}: {counted}, not {spent}");
         }
@@ -259,10 +265,13 @@
         fleet.spend(idx, 1);
     }
     fleet.run_ms(1_000);
-    let before = (0..60).map(|idx| fleet.left(idx)).collect::<Vec<_>>();
+    let before = (0..60).map(|idx| fleet.remaining(idx)).collect::<Vec<_>>();
     let mut spent = 0;
     for step in 0..80 {
-        for idx in (0..60).filter(|idx| fleet.runs(*idx)).collect::<Vec<_>>() {
+        for idx in (0..60)
+            .filter(|idx| fleet.is_running(*idx))
+            .collect::<Vec<_>>()
+        {
             fleet.spend(idx, 100);
             spent += 100;
         }
@@ -274,8 +283,8 @@
         }
     }
     fleet.run_ms(2_000);
-    for idx in (0..60).filter(|idx| fleet.runs(*idx)) {
-        let counted = before[idx] - fleet.left(idx);
+    for idx in (0..60).filter(|idx| fleet.is_running(*idx)) {
+        let counted = before[idx] - fleet.remaining(idx);
         assert!(counted * 100 >= spent * 93, "i{idx}: {counted} of {spent}");
     }
 }
@@ -290,8 +299,8 @@
 fn send_drafts(fleet: &mut Fleet, times: u64, step: u64, runs: &mut Vec<u64>) {
     let drafts = RATE * times / 10 / STEPS_A_SECOND / DRAFT + 1;
     for _ in 0..drafts {
-        let idx = fleet.draw(fleet.len());
-        if fleet.runs(idx) && fleet.charge(idx, quota(RATE, BURST), DRAFT) {
+        let idx = fleet.random_below(fleet.len());
+        if fleet.is_running(idx) && fleet.charge(idx, quota(RATE, BURST), DRAFT) {
             runs.push(step);
         }
     }
@@ -352,7 +361,7 @@
             fleet.network.loss = 1.0;
         }
         if step == 5 * STEPS_A_SECOND + 60 {
-            fleet.network = Network::CALM;
+            fleet.network = Network::RELIABLE;
         }
     }
     assert_within_quota(&runs);
@@ -362,16 +371,16 @@
 #[test]
 fn datagrams_that_cannot_be_are_not_believed() {
     let mut fleet = settled(20, 3, 12);
-    fleet.scatter(40);
+    fleet.add_random_requests(40);
     fleet.run_ms(500);
     let stranger = "10.9.9.9:1".parse().unwrap();
-    let friend = fleet.tables(1).me.gossip;
+    let friend = fleet.tables(1).local.gossip;
     let mut other = settled(20, 3, 13);
-    other.scatter(40);
+    other.add_random_requests(40);
     other.run_ms(105);
     let relay = other.relays()[0];
     let now = other.now;
-    let tellings = other.tables_mut(relay).tell_round(now);
+    let tellings = other.tables_mut(relay).exchange_round(now);
     for telling in tellings {
         let buf = Packet::Exchange(telling.message).encode().unwrap();
         fleet.inject(0, stranger, &buf);
@@ -394,28 +403,28 @@
 fn random_troubles(seed: u64) {
     let mut fleet = settled(20 + usize::try_from(seed % 20).unwrap(), 3, seed);
     let count = fleet.len();
-    fleet.network = Network::ROUGH;
+    fleet.network = Network::UNRELIABLE;
     for _ in 0..8 {
-        fleet.scatter(10);
+        fleet.add_random_requests(10);
         let relays = fleet.relays();
-        let relay = relays.get(fleet.draw(relays.len().max(1))).copied();
-        let any = fleet.draw(count);
-        match fleet.draw(8) {
+        let relay = relays.get(fleet.random_below(relays.len().max(1))).copied();
+        let any = fleet.random_below(count);
+        match fleet.random_below(8) {
             0 => fleet.kill(relay.unwrap_or(any)),
-            1 => fleet.freeze(relay.unwrap_or(any)),
-            2 => fleet.thaw(any),
-            3 => (0..count).for_each(|idx| fleet.thaw(idx)),
+            1 => fleet.suspend(relay.unwrap_or(any)),
+            2 => fleet.resume(any),
+            3 => (0..count).for_each(|idx| fleet.resume(idx)),
             4 => fleet.restart(relay.unwrap_or(any), any.is_multiple_of(2)),
-            5 => fleet.cuts = vec![(fleet.draw(3), fleet.draw(3))],
+            5 => fleet.partitions = vec![(fleet.random_below(3), fleet.random_below(3))],
             6 => fleet.restart(any, any.is_multiple_of(2)),
-            _ => fleet.cuts.clear(),
+            _ => fleet.partitions.clear(),
         }
-        let pause = fleet.draw(900);
+        let pause = fleet.random_below(900);
         fleet.run_ms(u64::try_from(pause).unwrap());
     }
-    fleet.cuts.clear();
-    fleet.network = Network::CALM;
-    (0..count).for_each(|idx| fleet.thaw(idx));
+    fleet.partitions.clear();
+    fleet.network = Network::RELIABLE;
+    (0..count).for_each(|idx| fleet.resume(idx));
     fleet.run_ms(4_000);
     assert_eq!(fleet.first_error(), None, "seed {seed}");
 }
--- a/crates/gateway/tests/following.rs
+++ b/crates/gateway/tests/following.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bluebellstage_core::Revision;
-use bluebellstage_gateway::decide::follower::{Ask, Follower};
+use bluebellstage_gateway::decide::follower::{Follower, StoreRequest};
 use bluebellstage_gateway::decide::kind::Kind;
 use bluebellstage_gateway::decide::peers::{Load, Peer, Strength};
 use bluebellstage_gateway::decide::tables::Tables;
@@ -70,10 +70,10 @@
     let names = (0..8).map(|idx| format!("i{idx}")).collect::<Vec<_>>();
     let follows = |me: &str| {
         let mut tables = tables();
-        tables.me = support::member(me, "north");
+        tables.local = support::member(me, "north");
         for peer in fleet(8) {
             if peer.member.name.as_str() != me {
-                tables.peers.heard(peer);
+                tables.peers.update(peer);
             }
         }
         tables.follows_store(at(1))
@@ -89,11 +89,11 @@
     let mut tables = tables();
     for mut peer in fleet(8) {
         peer.member.strength = Strength(12);
-        tables.peers.heard(peer);
+        tables.peers.update(peer);
     }
-    tables.me.strength = Strength(50);
+    tables.local.strength = Strength(50);
     assert!(tables.follows_store(at(1)));
-    tables.me.strength = Strength(1);
+    tables.local.strength = Strength(1);
     assert!(!tables.follows_store(at(1)));
 }
 
@@ -102,8 +102,8 @@
 fn others_follow_when_the_store_does_not_answer_the_followers() {
     let mut tables = tables();
     for mut peer in fleet(8) {
-        peer.store_answers = false;
-        tables.peers.heard(peer);
+        peer.store_reachable = false;
+        tables.peers.update(peer);
     }
     assert!(tables.follows_store(at(1)));
 }
@@ -112,7 +112,7 @@
 fn an_instance_without_a_configuration_follows_by_itself() {
     let mut tables = tables();
     for peer in fleet(8) {
-        tables.peers.heard(peer);
+        tables.peers.update(peer);
     }
     tables.routes = std::sync::Arc::default();
     assert!(tables.follows_store(at(1)));
@@ -121,13 +121,13 @@
 /// A fleet that starts at once: all are registered, nobody is heard, nobody has a configuration.
 fn starting(me: &str, count: usize) -> Tables {
     let mut tables = tables();
-    tables.me = support::member(me, "north");
+    tables.local = support::member(me, "north");
     tables.routes = std::sync::Arc::default();
     tables.started = at(0);
     for idx in 0..count {
         let other = support::member(&format!("i{idx}"), "north");
-        if other.name != tables.me.name {
-            tables.peers.registered(other);
+        if other.name != tables.local.name {
+            tables.peers.register(other);
         }
     }
     tables
@@ -156,12 +156,12 @@
 #[test]
 fn what_a_peer_told_does_not_stand_in_for_a_list_once_its_history_is_gone() {
     let mut follower = Follower::new(Kind::Targets, None);
-    follower.copied(Revision(7));
+    follower.record_copy(Revision(7));
     assert_eq!(follower.after(), Some(Revision(7)));
-    follower.history_gone();
-    follower.copied(Revision(7));
-    assert_eq!(follower.ask(), Ask::List);
-    follower.copied(Revision(9));
+    follower.record_history_gone();
+    follower.record_copy(Revision(7));
+    assert_eq!(follower.next_request(), StoreRequest::List);
+    follower.record_copy(Revision(9));
     assert_eq!(follower.after(), Some(Revision(9)));
 }
 
@@ -174,7 +174,7 @@
             let mut other = peer(&format!("i{other}"), at(5_000));
             other.ready = false;
             other.config = Revision::default();
-            tables.peers.heard(other);
+            tables.peers.update(other);
         }
         tables.follows_store(at(5_001))
     };
@@ -201,14 +201,14 @@
 #[test]
 fn a_follower_that_heard_nothing_lately_does_not_count() {
     let mut tables = tables();
-    tables.registry.follow(true, at(0));
-    tables.registry.heard_store(at(1_000));
-    assert!(tables.registry.store_answers(at(2_000)));
-    assert!(!tables.registry.store_answers(at(5_000)));
-    tables.registry.heard_store(at(5_001));
-    assert!(tables.registry.store_answers(at(5_100)));
-    tables.registry.follow(false, at(5_200));
-    assert!(tables.registry.store_answers(at(60_000)));
+    tables.registry.set_following(true, at(0));
+    tables.registry.record_store_response(at(1_000));
+    assert!(tables.registry.is_store_reachable(at(2_000)));
+    assert!(!tables.registry.is_store_reachable(at(5_000)));
+    tables.registry.record_store_response(at(5_001));
+    assert!(tables.registry.is_store_reachable(at(5_100)));
+    tables.registry.set_following(false, at(5_200));
+    assert!(tables.registry.is_store_reachable(at(60_000)));
 }
 
 /// A request reaches a server long after it was gone. An instance that had been cut off from the
@@ -221,8 +221,8 @@
             .registry
             .put(target(name, "court"), Revision(1), at(0));
     }
-    returned.registry.store_lost(at(0));
-    returned.registry.heard_store(at(4_000));
+    returned.registry.record_store_failure(at(0));
+    returned.registry.record_store_response(at(4_000));
     let gone = target("c1", "court").id;
     returned.registry.remove(&gone, Revision(9), at(4_001));
     assert!(returned.registry.get(&gone).is_some());
@@ -231,9 +231,10 @@
     other
         .registry
         .put(target("c0", "court"), Revision(5), at(0));
-    other
-        .registry
-        .copy(returned.registry.copied(Revision(0), at(4_200)), at(4_200));
+    other.registry.apply_copy(
+        returned.registry.copy_since(Revision(0), at(4_200)),
+        at(4_200),
+    );
     assert!(other.registry.get(&gone).is_none());
     assert_eq!(other.registry.digest(), returned.registry.digest());
 }
@@ -248,12 +249,13 @@
             .put(target("c1", "court"), Revision(1), at(0));
     }
     let id = target("c1", "court").id;
-    returned.registry.store_lost(at(0));
-    returned.registry.heard_store(at(4_000));
+    returned.registry.record_store_failure(at(0));
+    returned.registry.record_store_response(at(4_000));
     returned.registry.remove(&id, Revision(9), at(4_001));
-    other
-        .registry
-        .copy(returned.registry.copied(Revision(0), at(4_200)), at(4_200));
+    other.registry.apply_copy(
+        returned.registry.copy_since(Revision(0), at(4_200)),
+        at(4_200),
+    );
     assert!(other.registry.get(&id).is_some());
     // Both give it the same time, however often it is copied on.
     for tables in [&mut returned, &mut other] {
@@ -274,9 +276,9 @@
         .registry
         .put(target("c1", "court"), Revision(1), at(0));
     let id = target("c1", "court").id;
-    tables.registry.store_lost(at(3_000));
-    tables.registry.heard_store(at(4_000));
-    tables.registry.heard_store(at(4_800));
+    tables.registry.record_store_failure(at(3_000));
+    tables.registry.record_store_response(at(4_000));
+    tables.registry.record_store_response(at(4_800));
     tables.registry.remove(&id, Revision(9), at(4_801));
     assert!(tables.registry.get(&id).is_none());
 }
@@ -290,9 +292,9 @@
         .registry
         .put(target("c1", "court"), Revision(1), at(0));
     let id = target("c1", "court").id;
-    tables.registry.heard_store(at(3_000));
-    tables.registry.store_lost(at(3_500));
-    tables.registry.heard_store(at(4_000));
+    tables.registry.record_store_response(at(3_000));
+    tables.registry.record_store_failure(at(3_500));
+    tables.registry.record_store_response(at(4_000));
     tables.registry.remove(&id, Revision(9), at(4_001));
     assert!(tables.registry.get(&id).is_none());
 }
@@ -322,11 +324,11 @@
         .put(target("c0", "court"), Revision(13), at(1));
     let copy = follower
         .registry
-        .copied(other.registry.copied_up_to(), at(2));
-    assert!(!copy.whole);
+        .copy_since(other.registry.copied_revision(), at(2));
+    assert!(!copy.complete);
     assert_eq!(copy.targets.len(), 1);
     assert_eq!(copy.removed.len(), 1);
-    other.registry.copy(copy, at(2));
+    other.registry.apply_copy(copy, at(2));
     assert_eq!(other.registry.digest(), follower.registry.digest());
     assert_eq!(other.registry.revision(), Revision(13));
 }
@@ -339,9 +341,9 @@
     let mut other = registry_of(&["c0", "c1"], 10);
     let copy = follower
         .registry
-        .copied(other.registry.copied_up_to(), at(1));
-    assert!(copy.whole);
-    other.registry.copy(copy, at(1));
+        .copy_since(other.registry.copied_revision(), at(1));
+    assert!(copy.complete);
+    other.registry.apply_copy(copy, at(1));
     assert_eq!(other.registry.all().count(), 1);
 }
 
@@ -373,15 +375,15 @@
         .put(target("c2", "court"), Revision(11), at(1));
     let copy = follower
         .registry
-        .copied(other.registry.copied_up_to(), at(2));
-    other.registry.copy(copy, at(2));
-    assert_eq!(other.registry.copied_up_to(), Revision(0));
+        .copy_since(other.registry.copied_revision(), at(2));
+    other.registry.apply_copy(copy, at(2));
+    assert_eq!(other.registry.copied_revision(), Revision(0));
     let copy = follower
         .registry
-        .copied(other.registry.copied_up_to(), at(3));
-    other.registry.copy(copy, at(3));
+        .copy_since(other.registry.copied_revision(), at(3));
+    other.registry.apply_copy(copy, at(3));
     assert_eq!(other.registry.digest(), follower.registry.digest());
-    assert_eq!(other.registry.copied_up_to(), Revision(11));
+    assert_eq!(other.registry.copied_revision(), Revision(11));
 }
 
 /// What peers have at a target is summed as they tell it, and falls out with those that fall silent.
@@ -396,14 +398,14 @@
             prompts: 10 * count,
         };
         peer.in_flight.insert(hash, load);
-        tables.peers.heard(peer);
+        tables.peers.update(peer);
     }
     assert_eq!(tables.peers.load(hash).requests, 9);
-    tables.peers.ended(&peer("i2", at(0)).member.name);
+    tables.peers.remove(&peer("i2", at(0)).member.name);
     assert_eq!(tables.peers.load(hash).requests, 5);
     assert_eq!(tables.peers.load(hash).prompts, 50);
     tables.peers.sweep(at(2_000));
     assert_eq!(tables.peers.load(hash).requests, 0);
-    tables.peers.heard(peer("i1", at(2_100)));
+    tables.peers.update(peer("i1", at(2_100)));
     assert_eq!(tables.peers.load(hash).requests, 0);
 }
--- a/crates/gateway/tests/lease.rs
+++ b/crates/gateway/tests/lease.rs
@@ -207,9 +207,13 @@
     }
     let age = Duration::from_secs(13);
     let all = |_: &bluebellstage_core::TargetId| true;
-    let young = tables.registry.settled(all, &[], age, at(12_000));
+    let young = tables
+        .registry
+        .settled_incarnations(all, &[], age, at(12_000));
     assert_eq!(young, []);
-    let lives = tables.registry.settled(all, &[], age, at(14_000));
+    let lives = tables
+        .registry
+        .settled_incarnations(all, &[], age, at(14_000));
     assert_eq!(lives.len(), 2);
 
     let mut store = Store::default();
@@ -231,7 +235,7 @@
     }
     let known = fresh
         .registry
-        .settled(all, reborn.settled(), age, at(17_100));
+        .settled_incarnations(all, reborn.settled(), age, at(17_100));
     let unchanged = support::target("e0", "writers").life();
     assert_eq!(known, Vec::from_iter(unchanged));
 }
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -61,10 +61,10 @@
         play.fleet.kill(relay);
         play.run_ms(800);
         play.restart(relay, step % 2 == 0);
-        let frozen = play.fleet.draw(75);
-        play.fleet.freeze(frozen);
+        let frozen = play.fleet.random_below(75);
+        play.fleet.suspend(frozen);
         play.run_ms(800);
-        play.fleet.thaw(frozen);
+        play.fleet.resume(frozen);
     }
     assert_within(&play, &limits, "relays die");
 }
@@ -100,12 +100,12 @@
 #[test]
 fn a_word_grows_old_in_a_relayed_fleet_too() {
     let mut fleet = Fleet::start(45, 3, 24);
-    fleet.network = Network::ROUGH;
+    fleet.network = Network::UNRELIABLE;
     let mut play = two_limited(0).begin(fleet);
     let id = target("c0");
     let now = play.fleet.now;
     let first = play.fleet.tables_mut(7);
-    first.answer_said(&id, Said::Limit(rate(1_000)), now, now);
+    first.record_reported_limit(&id, Said::Limit(rate(1_000)), now, now);
     play.fleet.run_ms(500);
     let knows = |play: &Play, idx: usize| play.fleet.tables(idx).limits.of(&id).is_some();
     assert!((0..45).all(|idx| knows(&play, idx)));
@@ -178,7 +178,7 @@
 fn no_adapter_is_loaded_on_a_limited_engine() {
     let mut tables = tables();
     let now = at(0);
-    tables.peers.heard(peer("holder", now));
+    tables.peers.update(peer("holder", now));
     for id in ["e0", "e1"] {
         tables
             .registry
@@ -189,7 +189,7 @@
     let Pick::Load(first) = tables.pick(&ticket, &call, &[], 0.0, now) else {
         panic!("nothing is loaded yet");
     };
-    tables.answer_said(&first, Said::Limit(rate(1_000)), now, now);
+    tables.record_reported_limit(&first, Said::Limit(rate(1_000)), now, now);
     let other = if first == target("e0") { "e1" } else { "e0" };
     let pick = tables.pick(&ticket, &call, &[], 0.0, now);
     assert_eq!(pick, Pick::Load(target(other)));
@@ -204,6 +204,6 @@
     tables.registry.put(only, Revision(1), now);
     let call = call("/file/1", Some("key-1"));
     let ticket = tables.admit(&call, 0, now).unwrap();
-    tables.answer_said(&target("c0"), Said::Limit(rate(0)), now, now);
+    tables.record_reported_limit(&target("c0"), Said::Limit(rate(0)), now, now);
     assert_eq!(tables.pick(&ticket, &call, &[], 0.0, now), Pick::Full);
 }
--- a/crates/gateway/tests/loader.rs
+++ b/crates/gateway/tests/loader.rs
@@ -264,10 +264,10 @@
     let id = engine.id.clone();
     tables.registry.put(engine.clone(), Revision(1), at(0));
     tables.registry.put(engine.clone(), Revision(2), at(5_000));
-    assert_eq!(tables.registry.life_since(&id), Some(at(0)));
+    assert_eq!(tables.registry.incarnation_seen_at(&id), Some(at(0)));
     engine.born = Some(99);
     tables.registry.put(engine, Revision(3), at(9_000));
-    assert_eq!(tables.registry.life_since(&id), Some(at(9_000)));
+    assert_eq!(tables.registry.incarnation_seen_at(&id), Some(at(9_000)));
 }
 
 /// An engine crashes because late loads of its former life fill it one by one. Nobody else orders
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -12,7 +12,7 @@
 use bluebellstage_gateway::decide::rendezvous::ShortHash;
 use bluebellstage_gateway::decide::residency::WordOrder;
 use bluebellstage_gateway::decide::tables::{Refusal, Tables, shard_of};
-use bluebellstage_gateway::decide::versions::LONG_AGO;
+use bluebellstage_gateway::decide::versions::MAX_ANNOUNCEMENT_AGE;
 use support::{adapter, adapter_at, at, call, draft, tables, target};
 
 fn id(name: &str) -> TargetId {
@@ -91,7 +91,7 @@
     writers(&mut tables, 3);
     holds(&mut tables, "e1", "a1", 1);
     for _ in 0..4 {
-        tables.begin(&id("e1"));
+        tables.start_request(&id("e1"));
     }
     let Pick::Send {
         target, load_at, ..
@@ -141,7 +141,7 @@
     assert_eq!(pick, Pick::Load(id("e1")));
     let by = tables
         .versions
-        .must_begin_by(&adapter("a1"), AdapterVersion(1));
+        .start_deadline(&adapter("a1"), AdapterVersion(1));
     assert!(by.is_some_and(|by| by < at(5_000)));
 }
 
@@ -159,14 +159,14 @@
         let adapter = &news.adapter;
         copied.versions.announce(adapter, news.age, at(50_000));
     }
-    let by = copied.versions.must_begin_by(&key, AdapterVersion(1));
+    let by = copied.versions.start_deadline(&key, AdapterVersion(1));
     assert_eq!(by, Some(at(50_800)));
     let mut restarted = tables();
     restarted
         .versions
-        .announce(&adapter_at("a1", 2), LONG_AGO, at(50_000));
+        .announce(&adapter_at("a1", 2), MAX_ANNOUNCEMENT_AGE, at(50_000));
     let versions = &restarted.versions;
-    assert!(!versions.may_begin(&key, AdapterVersion(1), Duration::ZERO, at(50_000)));
+    assert!(!versions.may_start(&key, AdapterVersion(1), Duration::ZERO, at(50_000)));
 }
 
 /// Guards against an older announcement that is heard after a newer one.
@@ -179,7 +179,7 @@
     assert!(versions.announce(&adapter_at("a1", 3), Duration::ZERO, at(10_000)));
     assert!(!versions.announce(&adapter_at("a1", 2), age, at(10_000)));
     assert_eq!(versions.newest(&key), Some(AdapterVersion(3)));
-    let by = |version| versions.must_begin_by(&key, AdapterVersion(version));
+    let by = |version| versions.start_deadline(&key, AdapterVersion(version));
     assert_eq!(by(1), Some(at(11_800)));
     assert_eq!(by(2), Some(at(13_800)));
     assert_eq!(by(3), None);
@@ -212,7 +212,7 @@
     let key = adapter("a1");
     let by = |tables: &Tables, version| {
         let versions = &tables.versions;
-        versions.must_begin_by(&key, AdapterVersion(version))
+        versions.start_deadline(&key, AdapterVersion(version))
     };
     assert_eq!(by(&tables, 1), None);
     tables
@@ -311,7 +311,10 @@
         waiting,
         copies: 36,
     };
-    tables.loads.places.insert(ShortHash::of(engine), places);
+    tables
+        .loads
+        .adapter_slots
+        .insert(ShortHash::of(engine), places);
 }
 
 /// The engine that all ask for an adapter at, and the others in some order.
@@ -386,8 +389,8 @@
 fn a_filing_goes_to_the_emptiest_server() {
     let mut tables = tables();
     court(&mut tables);
-    tables.begin(&id("c0"));
-    tables.begin(&id("c2"));
+    tables.start_request(&id("c0"));
+    tables.start_request(&id("c2"));
     let filing = call("/file/1", Some("key-1"));
     assert_eq!(sent_to(&pick(&mut tables, &filing, 0.5, at(1))), "c1");
 }
@@ -433,8 +436,8 @@
 fn targets_that_vanish_in_an_outage_are_used_until_they_had_time_to_return() {
     let mut tables = tables();
     court(&mut tables);
-    tables.registry.store_lost(at(0));
-    tables.registry.heard_store(at(4_000));
+    tables.registry.record_store_failure(at(0));
+    tables.registry.record_store_response(at(4_000));
     tables.registry.replace(Vec::new(), Revision(2), at(4_001));
     let filing = call("/file/1", Some("key-1"));
     assert!(matches!(
--- a/crates/gateway/tests/quarantine_news.rs
+++ b/crates/gateway/tests/quarantine_spread.rs
@@ -35,7 +35,7 @@
             copy(fleet, idx);
         }
     }
-    let running = (0..fleet.len()).filter(|idx| fleet.runs(*idx));
+    let running = (0..fleet.len()).filter(|idx| fleet.is_running(*idx));
     let lacking = running.filter(|idx| fleet.tables(*idx).quarantine.digest() == 0);
     lacking.collect()
 }
@@ -58,7 +58,7 @@
     let live = tables.peers.live(fleet.now);
     let mut newer = live.filter(|peer| tables.is_behind(peer));
     let number = newer.find_map(|peer| peer.member.name.as_str().strip_prefix('i')?.parse().ok());
-    number.filter(|peer| fleet.runs(idx) && fleet.runs(*peer))
+    number.filter(|peer| fleet.is_running(idx) && fleet.is_running(*peer))
 }
 
 #[test]
@@ -76,16 +76,16 @@
 #[test]
 fn who_starts_thaws_or_comes_back_from_a_cut_holds_it() {
     let mut fleet = Fleet::start(60, 3, 11);
-    fleet.network = Network::ROUGH;
+    fleet.network = Network::UNRELIABLE;
     fleet.run_ms(3_000);
     let frozen = 17;
-    fleet.freeze(frozen);
-    fleet.cuts = vec![(0, 1), (0, 2), (1, 0), (2, 0)];
+    fleet.suspend(frozen);
+    fleet.partitions = vec![(0, 1), (0, 2), (1, 0), (2, 0)];
     fleet.run_ms(500);
     rule(&mut fleet, 31);
     fleet.run_ms(4_000);
-    fleet.cuts.clear();
-    fleet.thaw(frozen);
+    fleet.partitions.clear();
+    fleet.resume(frozen);
     fleet.restart(40, true);
     let lacking = lacking_after(&mut fleet, KNOWN_MS);
     assert!(lacking.is_empty(), "{lacking:?}");
--- a/crates/gateway/tests/store_silence.rs
+++ b/crates/gateway/tests/store_outage.rs
@@ -8,7 +8,7 @@
 use bluebellstage_core::Revision;
 use bluebellstage_gateway::decide::follower::Follower;
 use bluebellstage_gateway::edge::{Content, Kind};
-use support::store::{ScriptedStore, Trouble, follow_for};
+use support::store::{Fault, ScriptedStore, follow_for};
 use support::{adapter_at, config, target};
 
 /// Time after the store's return for which no bound holds.
@@ -50,7 +50,7 @@
 
 /// How long after the store's return the instance hears of the second of two changes, the first of
 /// which came just before the silence and the second in it.
-fn heard(kind: Kind, trouble: Trouble, away: &Range<Duration>) -> Option<Duration> {
+fn heard(kind: Kind, fault: Fault, away: &Range<Duration>) -> Option<Duration> {
     let store = follow_for(away.end + AFTERWARDS, || {
         let first = Content::Config(Box::new(config(1)));
         let script = vec![
@@ -58,9 +58,9 @@
             (kind, news(kind, false), CHANGED),
             (kind, news(kind, true), away.end),
         ];
-        ScriptedStore::new(trouble, away.clone(), script)
+        ScriptedStore::new(fault, away.clone(), script)
     });
-    let told = store.told(Revision(3));
+    let told = store.first_sent(Revision(3));
     told.map(|told| told.saturating_sub(away.end))
 }
 
@@ -81,10 +81,10 @@
 }
 
 /// The silences in which the instance heard too late, with how late.
-fn too_late(kind: Kind, trouble: Trouble) -> Vec<(Range<Duration>, Option<Duration>)> {
+fn too_late(kind: Kind, fault: Fault) -> Vec<(Range<Duration>, Option<Duration>)> {
     let starts = (0..PHASES).map(|idx| CHANGED + PHASE * idx);
     let spans = starts.flat_map(|start| SILENCES.map(|length| start..start + length));
-    let heard = spans.map(|away| (away.clone(), heard(kind, trouble, &away)));
+    let heard = spans.map(|away| (away.clone(), heard(kind, fault, &away)));
     heard
         .filter(|(_, heard)| heard.is_none_or(|heard| heard > bound(kind)))
         .collect()
@@ -99,7 +99,7 @@
 /// whose call had begun before the same silence had all changes as soon as it was over.
 #[test]
 fn a_configuration_is_heard_soon_after_a_silence_of_the_store() {
-    let late = too_late(Kind::Config, Trouble::Silent);
+    let late = too_late(Kind::Config, Fault::Unresponsive);
     assert!(late.is_empty(), "heard too late: {late:?}");
 }
 
@@ -108,7 +108,7 @@
 /// the configuration, and may have been open for as long.
 #[test]
 fn a_version_is_heard_soon_after_a_silence_of_the_store() {
-    let late = too_late(Kind::AdapterVersions, Trouble::Silent);
+    let late = too_late(Kind::AdapterVersions, Fault::Unresponsive);
     assert!(late.is_empty(), "heard too late: {late:?}");
 }
 
@@ -116,7 +116,7 @@
 /// store was silent.
 #[test]
 fn a_leaving_target_is_heard_soon_after_a_silence_of_the_store() {
-    let late = too_late(Kind::Targets, Trouble::Silent);
+    let late = too_late(Kind::Targets, Fault::Unresponsive);
     assert!(late.is_empty(), "heard too late: {late:?}");
 }
 
@@ -124,7 +124,7 @@
 /// grow. They must not grow beyond what the bound leaves.
 #[test]
 fn a_configuration_is_heard_soon_after_the_store_refused() {
-    let late = too_late(Kind::Config, Trouble::Busy);
+    let late = too_late(Kind::Config, Fault::Rejecting);
     assert!(late.is_empty(), "heard too late: {late:?}");
 }
 
@@ -134,9 +134,9 @@
 fn only_quick_failures_are_followed_by_a_pause() {
     let mut follower = Follower::new(Kind::Config, Some(Revision(1)));
     let took = [8, 8, 8, 8, 8, 1_800, 8].map(Duration::from_millis);
-    let pauses = took.map(|took| follower.failed(took, 1.0).as_millis());
+    let pauses = took.map(|took| follower.record_failure(took, 1.0).as_millis());
     assert_eq!(pauses, [142, 292, 592, 992, 992, 0, 992]);
-    follower.answered(Revision(2), true);
-    let quick = follower.failed(Duration::ZERO, 1.0);
+    follower.record_response(Revision(2), true);
+    let quick = follower.record_failure(Duration::ZERO, 1.0);
     assert_eq!(quick.as_millis(), 150);
 }
--- a/crates/gateway/tests/support/desk.rs
+++ b/crates/gateway/tests/support/desk.rs
@@ -284,8 +284,8 @@
             return self.waiting.push(request);
         }
         seat.loader.begun(&request.key, now);
-        tables.begin(target);
-        let waiting = tables.sent_prompt(target, asked, now);
+        tables.start_request(target);
+        let waiting = tables.record_prompt(target, asked, now);
         tables.residency.proved(target, &request.key);
         let tokens = f64::from(u32::try_from(self.desk.prompt).unwrap());
         let reading = Duration::from_secs_f64(tokens / seat.speed / 1_000.0);
@@ -322,7 +322,7 @@
             let seat = &mut self.seats[running.engine];
             seat.engine.end(&running.request.key);
             seat.loader.ended(&running.request.key, now);
-            self.tables[running.request.instance].end(&seat.id);
+            self.tables[running.request.instance].end_request(&seat.id);
         }
     }
 
@@ -386,23 +386,23 @@
             let waiting = own.clone().map(|seat| seat.loader.waiting()).sum::<usize>();
             let loading = own.map(|seat| seat.loader.loading()).sum::<usize>();
             let tables = &mut self.tables[idx];
-            tables.loads.places.clone_from(&places);
+            tables.loads.adapter_slots.clone_from(&places);
             tables.loads.waiting = u16::try_from(waiting).unwrap();
-            tables.loads.under_way = u16::try_from(loading).unwrap();
+            tables.loads.active = u16::try_from(loading).unwrap();
             tables.sweep(now);
-            let loads = tables.own_loads();
+            let loads = tables.local_loads();
             let loads = loads.map(|(id, load)| (ShortHash::of(id.as_str()), load));
             let told = Peer {
                 in_flight: loads.collect(),
-                loads: tables.loads.under_way,
+                loads: tables.loads.active,
                 waiting_loads: tables.loads.waiting,
-                places,
+                adapter_slots: places,
                 shards: tables.shards.clone(),
-                ..peer(tables.me.name.as_str(), now)
+                ..peer(tables.local.name.as_str(), now)
             };
             for (other, tables) in self.tables.iter_mut().enumerate() {
                 if other != idx {
-                    tables.peers.heard(told.clone());
+                    tables.peers.update(told.clone());
                 }
             }
         }
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -11,7 +11,7 @@
     FailureDomain, Incarnation, InstanceId, Revision, TargetId, Time, WorkspaceId,
 };
 use bluebellstage_gateway::decide::config::Quota;
-use bluebellstage_gateway::decide::exchange::{Message, ROUND};
+use bluebellstage_gateway::decide::exchange::{Message, ROUND_INTERVAL};
 use bluebellstage_gateway::decide::peers::{Member, Strength};
 use bluebellstage_gateway::decide::quota::{Charged, Sharing};
 use bluebellstage_gateway::decide::rendezvous::ShortHash;
@@ -37,30 +37,30 @@
     /// Part that is lost.
     pub loss: f64,
     /// Part that comes twice.
-    pub doubled: f64,
+    pub duplicated: f64,
     /// Delay in milliseconds.
     pub delay: Range<u64>,
 }
 
 impl Network {
     /// Nothing is lost.
-    pub const CALM: Self = Self {
+    pub const RELIABLE: Self = Self {
         loss: 0.0,
-        doubled: 0.0,
+        duplicated: 0.0,
         delay: 1..3,
     };
     /// One in twenty is lost or doubled, and they overtake each other.
-    pub const ROUGH: Self = Self {
+    pub const UNRELIABLE: Self = Self {
         loss: 0.05,
-        doubled: 0.05,
+        duplicated: 0.05,
         delay: 1..40,
     };
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
-    Runs,
-    Frozen,
+    Running,
+    Suspended,
     Dead,
 }
 
@@ -83,23 +83,23 @@
 pub struct Fleet {
     nodes: Vec<Node>,
     by_address: HashMap<SocketAddr, usize>,
-    underway: BinaryHeap<Reverse<(Time, u64, Datagram)>>,
+    in_transit: BinaryHeap<Reverse<(Time, u64, Datagram)>>,
     sent: u64,
     pub network: Network,
     /// Pairs of domains between which nothing passes, from the first to the second.
-    pub cuts: Vec<(usize, usize)>,
+    pub partitions: Vec<(usize, usize)>,
     domains: usize,
     quota: Quota,
-    lives: u64,
+    incarnations: u64,
     rng: ChaCha8Rng,
     pub now: Time,
 }
 
-fn address(idx: usize, life: u64) -> SocketAddr {
+fn address(idx: usize, incarnation: u64) -> SocketAddr {
     let idx = u16::try_from(idx).unwrap();
     let [high, low] = idx.to_be_bytes();
-    let life = u8::try_from(life % 200).unwrap();
-    SocketAddr::from((Ipv4Addr::new(10, high, low, life), 7_600))
+    let incarnation = u8::try_from(incarnation % 200).unwrap();
+    SocketAddr::from((Ipv4Addr::new(10, high, low, incarnation), 7_600))
 }
 
 pub fn target_id(idx: usize) -> TargetId {
@@ -121,13 +121,13 @@
         let mut fleet = Self {
             nodes: Vec::new(),
             by_address: HashMap::new(),
-            underway: BinaryHeap::new(),
+            in_transit: BinaryHeap::new(),
             sent: 0,
-            network: Network::CALM,
-            cuts: Vec::new(),
+            network: Network::RELIABLE,
+            partitions: Vec::new(),
             domains,
             quota,
-            lives: 1,
+            incarnations: 1,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: at(0),
         };
@@ -136,23 +136,23 @@
             fleet.by_address.insert(address(idx, 1), idx);
             fleet.nodes.push(node);
         }
-        let members = fleet.nodes.iter().map(|node| node.tables.me.clone());
+        let members = fleet.nodes.iter().map(|node| node.tables.local.clone());
         let members = members.collect::<Vec<_>>();
         for node in &mut fleet.nodes {
             for member in &members {
-                if member.name != node.tables.me.name {
-                    node.tables.peers.registered(member.clone());
+                if member.name != node.tables.local.name {
+                    node.tables.peers.register(member.clone());
                 }
             }
         }
         fleet
     }
 
-    fn member(&self, idx: usize, life: u64) -> Member {
+    fn member(&self, idx: usize, incarnation: u64) -> Member {
         let strong = idx / self.domains < 3;
         Member {
-            incarnation: Incarnation(life),
-            gossip: address(idx, life),
+            incarnation: Incarnation(incarnation),
+            gossip: address(idx, incarnation),
             failure_domain: FailureDomain::try_from(&*format!("d{}", idx % self.domains)).unwrap(),
             strength: Strength(if strong { 50 } else { 12 }),
             name: InstanceId::try_from(&*format!("i{idx}")).unwrap(),
@@ -161,33 +161,37 @@
     }
 
     /// Part of the fleet that one which restarts has not heard.
-    fn unmet(&self) -> f64 {
+    fn undiscovered_fraction(&self) -> f64 {
         let count = u32::try_from(self.nodes.len()).unwrap();
         f64::from(count - 1) / f64::from(count)
     }
 
-    fn new_node(&mut self, idx: usize, life: u64) -> Node {
+    fn new_node(&mut self, idx: usize, incarnation: u64) -> Node {
         let budget = RetryBudget {
             ratio: 0.2,
             window: Duration::from_secs(10),
             slack: 10.0,
         };
-        let mut tables = Tables::new(self.member(idx, life), budget);
+        let mut tables = Tables::new(self.member(idx, incarnation), budget);
         assert!(tables.adopt(config(1), self.now));
         for idx in 0..TARGETS {
             let target = target(target_id(idx).as_str(), "writers");
             tables.registry.put(target, Revision(1), self.now);
         }
-        let silent = if life > 1 { self.unmet() } else { 0.0 };
+        let silent = if incarnation > 1 {
+            self.undiscovered_fraction()
+        } else {
+            0.0
+        };
         tables.started = self.now;
         tables
             .quotas
             .prepare(&workspace(), self.quota, silent, self.now);
-        let round = u64::try_from(ROUND.as_millis()).unwrap();
+        let round = u64::try_from(ROUND_INTERVAL.as_millis()).unwrap();
         let phase = Duration::from_millis(self.rng.random_range(0..round));
         Node {
             tables,
-            state: State::Runs,
+            state: State::Running,
             next_round: self.now + phase,
             held: Vec::new(),
             bytes: 0,
@@ -203,11 +207,11 @@
     }
 
     /// An instance takes some that are long gone for registered.
-    pub fn haunt(&mut self, idx: usize, ghosts: usize) {
+    pub fn add_stale_registrations(&mut self, idx: usize, count: usize) {
         let first = self.nodes.len();
-        for ghost in first..first + ghosts {
-            let ghost = self.member(ghost, 1);
-            self.nodes[idx].tables.peers.registered(ghost);
+        for stale in first..first + count {
+            let stale = self.member(stale, 1);
+            self.nodes[idx].tables.peers.register(stale);
         }
     }
 
@@ -215,15 +219,15 @@
         &mut self.nodes[idx].tables
     }
 
-    pub fn runs(&self, idx: usize) -> bool {
-        self.nodes[idx].state == State::Runs
+    pub fn is_running(&self, idx: usize) -> bool {
+        self.nodes[idx].state == State::Running
     }
 
     /// Instances that relay.
     pub fn relays(&self) -> Vec<usize> {
         let all = 0..self.nodes.len();
         let relays =
-            |idx: &usize| self.runs(*idx) && self.tables(*idx).exchange.role() == Role::Relays;
+            |idx: &usize| self.is_running(*idx) && self.tables(*idx).exchange.role() == Role::Relay;
         all.filter(relays).collect()
     }
 
@@ -237,17 +241,17 @@
         self.nodes[idx].held.clear();
     }
 
-    pub fn freeze(&mut self, idx: usize) {
-        if self.runs(idx) {
-            self.nodes[idx].state = State::Frozen;
+    pub fn suspend(&mut self, idx: usize) {
+        if self.is_running(idx) {
+            self.nodes[idx].state = State::Suspended;
         }
     }
 
-    pub fn thaw(&mut self, idx: usize) {
-        if self.nodes[idx].state != State::Frozen {
+    pub fn resume(&mut self, idx: usize) {
+        if self.nodes[idx].state != State::Suspended {
             return;
         }
-        self.nodes[idx].state = State::Runs;
+        self.nodes[idx].state = State::Running;
         for (from, buf) in std::mem::take(&mut self.nodes[idx].held) {
             self.deliver(idx, from, &buf);
         }
@@ -256,38 +260,38 @@
     /// Starts an instance anew, at another address if `moved`. It knows who is registered, and tells all
     /// who it is.
     pub fn restart(&mut self, idx: usize, moved: bool) {
-        self.lives += 1;
-        let life = self.lives;
-        let former = self.nodes[idx].tables.me.clone();
-        let others = self.nodes.iter().map(|node| node.tables.me.clone());
+        self.incarnations += 1;
+        let incarnation = self.incarnations;
+        let former = self.nodes[idx].tables.local.clone();
+        let others = self.nodes.iter().map(|node| node.tables.local.clone());
         let others = others.collect::<Vec<_>>();
-        let mut node = self.new_node(idx, life);
+        let mut node = self.new_node(idx, incarnation);
         if !moved {
-            node.tables.me.gossip = former.gossip;
+            node.tables.local.gossip = former.gossip;
         }
-        let me = node.tables.me.clone();
+        let local = node.tables.local.clone();
         for member in others {
-            if member.name != me.name {
-                node.tables.peers.registered(member);
+            if member.name != local.name {
+                node.tables.peers.register(member);
             }
         }
         self.by_address.remove(&former.gossip);
-        self.by_address.insert(me.gossip, idx);
+        self.by_address.insert(local.gossip, idx);
         self.nodes[idx] = node;
         for other in 0..self.nodes.len() {
-            let to = self.nodes[other].tables.me.gossip;
-            let message = Message::Introduction(Box::new(me.clone()));
+            let to = self.nodes[other].tables.local.gossip;
+            let message = Message::MemberInfo(Box::new(local.clone()));
             self.send(idx, to, &Packet::Exchange(message));
         }
     }
 
     /// A request more, or less, of an instance at a target.
-    pub fn load(&mut self, idx: usize, target: usize, more: bool) {
+    pub fn change_load(&mut self, idx: usize, target: usize, more: bool) {
         let tables = &mut self.nodes[idx].tables;
         if more {
-            tables.begin(&target_id(target));
+            tables.start_request(&target_id(target));
         } else {
-            tables.end(&target_id(target));
+            tables.end_request(&target_id(target));
         }
     }
 
@@ -295,8 +299,8 @@
     pub fn charge(&mut self, idx: usize, limit: Quota, units: u64) -> bool {
         let tables = &mut self.nodes[idx].tables;
         let sharing = Sharing {
-            silent: tables.unheard_share(self.now),
-            lag: tables.news_age(self.now),
+            silent: tables.unknown_spending_fraction(self.now),
+            lag: tables.update_age(self.now),
         };
         let quotas = &mut tables.quotas;
         let pause = Duration::ZERO;
@@ -319,7 +323,7 @@
     }
 
     /// What an instance believes to be left of the workspace's quota.
-    pub fn left(&self, idx: usize) -> i64 {
+    pub fn remaining(&self, idx: usize) -> i64 {
         self.tables(idx).quotas.dump()[0].left
     }
 
@@ -327,15 +331,17 @@
     pub fn others_load(&self, idx: usize, target: usize) -> (u32, u32) {
         let id = target_id(target);
         let others = self.nodes.iter().enumerate();
-        let others = others.filter(|(other, node)| *other != idx && node.state == State::Runs);
-        let real = others.map(|(_, node)| node.tables.own_in_flight(&id)).sum();
+        let others = others.filter(|(other, node)| *other != idx && node.state == State::Running);
+        let real = others
+            .map(|(_, node)| node.tables.local_in_flight(&id))
+            .sum();
         let believed = self.tables(idx).peers.load(ShortHash::of(id.as_str()));
         (real, believed.requests)
     }
 
     /// The first instance whose belief of the others' requests is wrong, if any.
     pub fn first_error(&self) -> Option<String> {
-        let runs = (0..self.nodes.len()).filter(|idx| self.runs(*idx));
+        let runs = (0..self.nodes.len()).filter(|idx| self.is_running(*idx));
         for idx in runs {
             for target in 0..TARGETS {
                 let (real, believed) = self.others_load(idx, target);
@@ -362,7 +368,7 @@
             self.now = self.now + TICK;
             self.deliver_due();
             for idx in 0..self.nodes.len() {
-                if self.runs(idx) && self.nodes[idx].next_round <= self.now {
+                if self.is_running(idx) && self.nodes[idx].next_round <= self.now {
                     self.round(idx);
                 }
             }
@@ -372,9 +378,9 @@
     fn round(&mut self, idx: usize) {
         let now = self.now;
         let node = &mut self.nodes[idx];
-        node.next_round = now + ROUND;
+        node.next_round = now + ROUND_INTERVAL;
         node.tables.sweep(now);
-        for telling in node.tables.tell_round(now) {
+        for telling in node.tables.exchange_round(now) {
             let packet = Packet::Exchange(telling.message);
             for to in telling.to {
                 self.send(idx, to, &packet);
@@ -386,8 +392,8 @@
         let buf = packet.encode().unwrap();
         let node = &mut self.nodes[idx];
         node.bytes += u64::try_from(buf.len()).unwrap();
-        let from = node.tables.me.gossip;
-        let copies = 1 + u32::from(self.rng.random_bool(self.network.doubled));
+        let from = node.tables.local.gossip;
+        let copies = 1 + u32::from(self.rng.random_bool(self.network.duplicated));
         for _ in 0..copies {
             if self.rng.random_bool(self.network.loss) {
                 continue;
@@ -396,34 +402,34 @@
             self.sent += 1;
             let datagram = (from, to, buf.clone());
             let due = Reverse((self.now + delay, self.sent, datagram));
-            self.underway.push(due);
+            self.in_transit.push(due);
         }
     }
 
     fn deliver_due(&mut self) {
-        while let Some(Reverse((due, _, _))) = self.underway.peek()
+        while let Some(Reverse((due, _, _))) = self.in_transit.peek()
             && *due <= self.now
         {
-            let Some(Reverse((_, _, (from, to, buf)))) = self.underway.pop() else {
+            let Some(Reverse((_, _, (from, to, buf)))) = self.in_transit.pop() else {
                 return;
             };
             let Some(idx) = self.by_address.get(&to).copied() else {
                 continue;
             };
             let sender = self.by_address.get(&from).copied();
-            let cut = sender.is_some_and(|sender| self.is_cut(sender, idx));
+            let partitioned = sender.is_some_and(|sender| self.is_partitioned(sender, idx));
             match self.nodes[idx].state {
-                _ if cut => {}
-                State::Runs => self.deliver(idx, from, &buf),
-                State::Frozen => self.nodes[idx].held.push((from, buf)),
+                _ if partitioned => {}
+                State::Running => self.deliver(idx, from, &buf),
+                State::Suspended => self.nodes[idx].held.push((from, buf)),
                 State::Dead => {}
             }
         }
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
         let pair = (from % self.domains, to % self.domains);
-        self.cuts.contains(&pair)
+        self.partitions.contains(&pair)
     }
 
     fn deliver(&mut self, idx: usize, from: SocketAddr, buf: &[u8]) {
@@ -433,7 +439,7 @@
         let Ok(Packet::Exchange(message)) = Packet::decode(buf) else {
             return;
         };
-        for answer in node.tables.take_message(message, from, now) {
+        for answer in node.tables.receive_message(message, from, now) {
             self.send(idx, from, &Packet::Exchange(answer));
         }
     }
@@ -444,21 +450,21 @@
     }
 
     /// Requests on random instances and targets.
-    pub fn scatter(&mut self, requests: usize) {
+    pub fn add_random_requests(&mut self, requests: usize) {
         for _ in 0..requests {
             let idx = self.rng.random_range(0..self.nodes.len());
             let target = self.rng.random_range(0..TARGETS);
-            if self.runs(idx) {
-                self.load(idx, target, true);
+            if self.is_running(idx) {
+                self.change_load(idx, target, true);
             }
         }
     }
 
-    pub fn draw_part(&mut self) -> f64 {
+    pub fn random_fraction(&mut self) -> f64 {
         self.rng.random_range(0.0..1.0)
     }
 
-    pub fn draw(&mut self, below: usize) -> usize {
+    pub fn random_below(&mut self, below: usize) -> usize {
         self.rng.random_range(0..below)
     }
 
--- a/crates/gateway/tests/support/limited.rs
+++ b/crates/gateway/tests/support/limited.rs
@@ -115,12 +115,12 @@
     }
 
     fn ask(&mut self) {
-        let idx = self.fleet.draw(self.fleet.len());
-        if !self.fleet.runs(idx) {
+        let idx = self.fleet.random_below(self.fleet.len());
+        if !self.fleet.is_running(idx) {
             return;
         }
         let now = self.fleet.now;
-        let draw = self.fleet.draw_part();
+        let draw = self.fleet.random_fraction();
         let tables = self.fleet.tables_mut(idx);
         let call = call("/file/1", Some("key-1"));
         let ticket = tables.admit(&call, 0, now).unwrap();
@@ -128,7 +128,7 @@
             self.refused += 1;
             return;
         };
-        tables.begin(&target);
+        tables.start_request(&target);
         let number = (0..self.cfg.targets).find(|number| id(*number) == target);
         let number = number.unwrap();
         if number < self.cfg.limits.len() {
@@ -148,17 +148,17 @@
         let now = self.fleet.now;
         let limited = self.names_limits();
         while let Some(answer) = self.answers.pop_front_if(|answer| answer.due <= now) {
-            if !self.fleet.runs(answer.idx) {
+            if !self.fleet.is_running(answer.idx) {
                 continue;
             }
             let tables = self.fleet.tables_mut(answer.idx);
             let target = id(answer.target);
-            tables.end(&target);
+            tables.end_request(&target);
             let said = match self.cfg.limits.get(answer.target) {
                 Some(milli) if limited => Said::Limit(RequestRate::from_milli(*milli)),
                 _ => Said::Unlimited,
             };
-            tables.answer_said(&target, said, answer.sent, now);
+            tables.record_reported_limit(&target, said, answer.sent, now);
             if let Said::Limit(_) = said {
                 self.told[answer.idx][answer.target].get_or_insert(now);
             }
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -22,31 +22,31 @@
 use super::{member, settings};
 
 /// What the deployment adds to the wait of a watch before it gives the call up.
-const MARGIN: Duration = Duration::from_millis(800);
+const WATCH_MARGIN: Duration = Duration::from_millis(800);
 /// How long the deployment waits for any other answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1_200);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time that an answer takes.
-const ANSWER: Duration = Duration::from_millis(8);
+const RESPONSE_TIME: Duration = Duration::from_millis(8);
 /// Pause between looks for news while a watch waits.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What the store does in its silence with a call that begins then.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     /// It never answers, also after its return.
-    Silent,
+    Unresponsive,
     /// It refuses at once.
-    Busy,
+    Rejecting,
 }
 
 #[derive(Debug)]
 struct Script {
     started: Instant,
-    trouble: Trouble,
-    away: Range<Duration>,
+    fault: Fault,
+    outage: Range<Duration>,
     /// Kind, object and when the store takes it; the revision is the place in the list and one.
     news: Vec<(Kind, Object, Duration)>,
-    told: Mutex<Vec<(Revision, Duration)>>,
+    sent: Mutex<Vec<(Revision, Duration)>>,
 }
 
 /// The store; clones share one script.
@@ -56,8 +56,8 @@
 impl ScriptedStore {
     /// A store that is away for a span; times count from now.
     pub fn new(
-        trouble: Trouble,
-        away: Range<Duration>,
+        fault: Fault,
+        outage: Range<Duration>,
         news: Vec<(Kind, Content, Duration)>,
     ) -> Self {
         let object = |(idx, (kind, content, at)): (usize, (Kind, Content, Duration))| {
@@ -76,26 +76,26 @@
         };
         Self(Arc::new(Script {
             started: Instant::now(),
-            trouble,
-            away,
+            fault,
+            outage,
             news: news.into_iter().enumerate().map(object).collect(),
-            told: Mutex::default(),
+            sent: Mutex::default(),
         }))
     }
 
     /// When an answer first held the news of that revision.
-    pub fn told(&self, revision: Revision) -> Option<Duration> {
-        let told = self.0.told.lock().unwrap();
-        let mut told = told.iter().filter(|(of, _)| *of == revision);
-        told.next().map(|(_, at)| *at)
+    pub fn first_sent(&self, revision: Revision) -> Option<Duration> {
+        let sent = self.0.sent.lock().unwrap();
+        let mut sent = sent.iter().filter(|(of, _)| *of == revision);
+        sent.next().map(|(_, at)| *at)
     }
 
     fn now(&self) -> Duration {
         self.0.started.elapsed()
     }
 
-    fn away(&self) -> bool {
-        self.0.away.contains(&self.now())
+    fn outage(&self) -> bool {
+        self.0.outage.contains(&self.now())
     }
 
     fn listing(&self, kind: Kind, after: Revision) -> Listing {
@@ -111,24 +111,24 @@
     }
 
     async fn answer(&self, listing: Listing) -> Result<Listing, StoreError> {
-        tokio::time::sleep(ANSWER).await;
+        tokio::time::sleep(RESPONSE_TIME).await;
         let now = self.now();
-        let told = listing.objects.iter().map(|object| (object.revision, now));
-        self.0.told.lock().unwrap().extend(told);
+        let sent = listing.objects.iter().map(|object| (object.revision, now));
+        self.0.sent.lock().unwrap().extend(sent);
         Ok(listing)
     }
 
     /// Ends a call that begins while the store is away as the deployment does.
     async fn reach(&self, within: Duration) -> Result<(), StoreError> {
-        if !self.away() {
+        if !self.outage() {
             return Ok(());
         }
-        match self.0.trouble {
-            Trouble::Busy => {
-                tokio::time::sleep(ANSWER).await;
+        match self.0.fault {
+            Fault::Rejecting => {
+                tokio::time::sleep(RESPONSE_TIME).await;
                 Err(StoreError::Refused(503))
             }
-            Trouble::Silent => {
+            Fault::Unresponsive => {
                 tokio::time::sleep(within).await;
                 Err(StoreError::NoAnswer("silent".into()))
             }
@@ -138,7 +138,7 @@
 
 impl ObjectStore for ScriptedStore {
     async fn list(&self, kind: Kind) -> Result<Listing, StoreError> {
-        self.reach(ANSWER_WITHIN).await?;
+        self.reach(RESPONSE_TIMEOUT).await?;
         self.answer(self.listing(kind, Revision::default())).await
     }
 
@@ -148,23 +148,23 @@
         after: Revision,
         wait: Duration,
     ) -> Result<Listing, StoreError> {
-        self.reach(wait + MARGIN).await?;
+        self.reach(wait + WATCH_MARGIN).await?;
         let begun = Instant::now();
         loop {
             let listing = self.listing(kind, after);
             let due = !listing.objects.is_empty() || begun.elapsed() >= wait;
-            if due && !self.away() {
+            if due && !self.outage() {
                 return self.answer(listing).await;
             }
-            if begun.elapsed() >= wait + MARGIN {
+            if begun.elapsed() >= wait + WATCH_MARGIN {
                 return Err(StoreError::NoAnswer("silent".into()));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn read(&self, _kind: Kind, _name: &str) -> Result<Option<Object>, StoreError> {
-        self.reach(ANSWER_WITHIN).await?;
+        self.reach(RESPONSE_TIMEOUT).await?;
         Ok(None)
     }
 
@@ -175,12 +175,12 @@
         _at: Option<Revision>,
         _content: &Content,
     ) -> Result<Revision, StoreError> {
-        self.reach(ANSWER_WITHIN).await?;
+        self.reach(RESPONSE_TIMEOUT).await?;
         Ok(Revision(1))
     }
 
     async fn remove(&self, _kind: Kind, _name: &str) -> Result<(), StoreError> {
-        self.reach(ANSWER_WITHIN).await
+        self.reach(RESPONSE_TIMEOUT).await
     }
 }
 
