--- a/crates/gateway/src/decide/dump.rs
+++ b/crates/gateway/src/decide/dump.rs
@@ -1,4 +1,4 @@
-//! State of an instance for operators; without keys.
+//! State of an instance for operators, without API keys.
 
 use std::time::Duration;
 
@@ -18,31 +18,31 @@
 /// State of an instance.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Dump {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Where it runs.
+    /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Whether it takes callers.
+    /// Whether it accepts callers.
     pub stage: Stage,
-    /// How it learns what the store tells.
+    /// How it gets the store's data.
     pub store: StoreLink,
     /// Its calls to the store, by kind of objects.
     pub store_waits: Vec<StoreCallDump>,
-    /// What it does for the news of others.
+    /// Its part in relaying updates.
     pub role: Role,
-    /// The relay that it asks for news.
+    /// The relay from which it requests updates.
     pub news_from: Option<InstanceId>,
-    /// Mean age of what it knows of the others.
+    /// Mean age in milliseconds of its information about other instances.
     pub news_age_ms: u64,
-    /// Instances that ask it for news.
+    /// Number of instances that request updates from it.
     pub readers: usize,
     /// Version of the configuration in force.
     pub config: Revision,
     /// Revision of its list of targets.
     pub targets_revision: Revision,
-    /// Loader shards on which it orders.
+    /// Loader shards for which it may order loads.
     pub shards: Vec<u8>,
-    /// Loads from the weight store that it has under way.
+    /// Loads from the weight store in progress.
     pub loads: u16,
     /// Targets, by name.
     pub targets: Vec<TargetDump>,
@@ -50,109 +50,109 @@
     pub peers: Vec<PeerDump>,
     /// Quotas, by name of the workspace.
     pub quotas: Vec<QuotaDump>,
-    /// Requests that are refused because targets end under them.
+    /// Requests that are rejected because targets crash under them.
     pub quarantined: Vec<QuarantineDump>,
-    /// Requests that were on targets that ended.
+    /// Requests that were on crashed targets.
     pub suspects: Vec<SuspectDump>,
 }
 
-/// Whether an instance takes callers.
+/// Whether an instance accepts callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// It knows no configuration yet.
+    /// It has no configuration yet.
     Starting,
-    /// It takes callers.
+    /// It accepts callers.
     Ready,
-    /// A planned stop is under way.
+    /// A planned stop is in progress.
     Stopping,
 }
 
-/// How an instance learns what the store tells.
+/// How an instance gets the store's data.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreLink {
     /// It follows the store itself.
     Followed,
-    /// It copies from peers that follow it.
+    /// It copies from peers that follow the store.
     Copied,
-    /// The store doesn't answer it.
+    /// The store does not respond to it.
     Away,
 }
 
-/// The calls to the store about one kind of objects.
+/// The calls to the store for one kind of objects.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct StoreCallDump {
-    /// The kind.
+    /// The kind of objects.
     pub kind: Kind,
-    /// Milliseconds since the open call was made; none: no call is open.
+    /// Milliseconds since the open call was made, or `None` if no call is open.
     pub open_ms: Option<u64>,
-    /// Milliseconds since the last answer; none: never.
+    /// Milliseconds since the last response, or `None` if there was none.
     pub answered_ms: Option<u64>,
 }
 
-/// A target as an instance sees it.
+/// A target from the instance's point of view.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct TargetDump {
     /// Its registered name.
     pub id: TargetId,
     /// Its service.
     pub service: ServiceId,
-    /// It takes no new work.
+    /// It accepts no new requests.
     pub leaving: bool,
-    /// Requests a second that it takes from all instances together, if it names a limit.
+    /// Requests a second that it accepts from all instances together, if it reports a limit.
     pub limit: Option<RequestRate>,
-    /// Whether it gets requests by its record.
+    /// Its health state.
     pub standing: Standing,
-    /// Requests of all instances there, as far as known.
+    /// Requests of all instances at the target, as far as known.
     pub in_flight: u32,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes at once.
     pub slots: u32,
-    /// Adapters that can be used there.
+    /// Number of adapters that requests can use on it.
     pub adapters: usize,
 }
 
-/// A peer as an instance sees it.
+/// A peer from the instance's point of view.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct PeerDump {
-    /// Its name.
+    /// Name of the peer.
     pub name: InstanceId,
-    /// Milliseconds since it was last heard; none: never.
+    /// Milliseconds since it was last seen, or `None` if it never was.
     pub silent_ms: Option<u64>,
-    /// It takes callers.
+    /// It accepts callers.
     pub ready: bool,
-    /// The store answers it.
+    /// The store responds to it.
     pub store_answers: bool,
     /// Version of its configuration.
     pub config: Revision,
 }
 
-/// A workspace's quota as an instance sees it.
+/// A workspace's quota from the instance's point of view.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct QuotaDump {
     /// The workspace.
     pub workspace: WorkspaceId,
-    /// Units a second that it has.
+    /// Units a second.
     pub rate: Rate,
-    /// Units that are left; below zero where charges of peers came in late.
+    /// Remaining units; below zero if charges of peers arrived late.
     pub left: i64,
 }
 
-/// A request that is refused because targets end under it.
+/// A request that is rejected because targets crash under it.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct QuarantineDump {
-    /// What it is known by.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Milliseconds for which it is refused, or known to be.
+    /// Milliseconds for which it has been rejected, or known to be.
     pub since_ms: u64,
 }
 
-/// A request that was on targets that ended, perhaps by chance.
+/// A request that was on crashed targets, perhaps by coincidence.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct SuspectDump {
-    /// What it is known by.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// How many of them.
+    /// Number of crashed targets.
     pub ended: usize,
 }
 
@@ -161,7 +161,7 @@
 }
 
 impl Tables {
-    /// State of the instance for operators.
+    /// Returns the state of the instance for operators.
     #[must_use]
     pub fn dump(&self, now: Time) -> Dump {
         Dump {
@@ -232,14 +232,14 @@
     }
 
     fn dump_quarantined(&self, now: Time) -> Vec<QuarantineDump> {
-        let refused = self.quarantine.refused(now);
-        let mut dumped = refused
+        let rejected = self.quarantine.refused(now);
+        let mut dumped = rejected
             .map(|(fingerprint, since)| QuarantineDump {
                 fingerprint,
                 since_ms: millis(since),
             })
             .collect::<Vec<_>>();
-        dumped.sort_by_key(|held| held.fingerprint);
+        dumped.sort_by_key(|request| request.fingerprint);
         dumped
     }
 
@@ -255,7 +255,7 @@
     fn dump_peers(&self, now: Time) -> Vec<PeerDump> {
         let dumped = self.peers.all().map(|peer| PeerDump {
             name: peer.member.name.clone(),
-            silent_ms: peer.last_seen.map(|heard| millis(now.since(heard))),
+            silent_ms: peer.last_seen.map(|last_seen| millis(now.since(last_seen))),
             ready: peer.ready,
             store_answers: peer.store_reachable,
             config: peer.config,
--- a/crates/gateway/src/decide/follower.rs
+++ b/crates/gateway/src/decide/follower.rs
@@ -1,4 +1,4 @@
-//! How an instance follows one kind of objects in the store.
+//! Follows one kind of objects in the store.
 
 use std::time::Duration;
 
@@ -6,47 +6,48 @@
 
 use super::kind::Kind;
 
-/// Longest wait of a watch where nothing depends on the news coming soon; each is a call that is
-/// paid for. The store keeps 20 s of history: a longer wait may end in a list.
+/// Maximum wait of a watch for kinds whose changes are not urgent. Each watch is a call that is
+/// paid for. The store keeps 20 s of history, so a longer wait may end in a full list.
 ///
-/// So instances are waited for: one that starts introduces itself to all others, and copies who
-/// they are from a peer if the store doesn't tell.
+/// Members are not urgent because an instance that starts announces itself to all others, and
+/// copies the members from a peer if the store does not respond.
 const LONG_WAIT: Duration = Duration::from_secs(17);
-/// Longest wait for the configuration, which must be in force everywhere within two seconds.
+/// Maximum wait for the configuration, which must be in force everywhere within two seconds.
 ///
-/// A call that begins while the store is silent is never answered, also after its return, and looks
-/// like one that waits for news: instances went on with an old configuration, or an adapter's
-/// old version, until the wait was over. An instance that has asked anew within two seconds of the
-/// return hears what it missed while the bound is still suspended for the outage.
+/// The store never responds to a call that starts while it is unresponsive, even after it has
+/// recovered, and the call looks like one that waits for changes. Instances then used an old
+/// configuration, or an old version of an adapter, until the wait was over. An instance that calls
+/// again within two seconds of the recovery receives what it missed while the bound is still
+/// suspended for the outage.
 const CONFIG_WAIT: Duration = Duration::from_secs(1);
-/// The same for announced versions, whose bound is five seconds.
+/// Maximum wait for announced versions, whose bound is five seconds.
 const VERSIONS_WAIT: Duration = Duration::from_secs(2);
-/// The same for targets. They report every second or so: a watch that hears nothing for longer has
-/// lost its connection, and others must follow in this instance's place.
+/// Maximum wait for targets. They report about once a second, so a watch without changes for longer
+/// has lost its connection, and other instances must follow in place of this one.
 const TARGETS_WAIT: Duration = Duration::from_millis(1_500);
-/// Pause after news of targets: their registrations change with each heartbeat, and each answer
-/// costs a call. A leaving target must be known everywhere within 2 s.
+/// Delay after changes of targets. Their registrations change with each heartbeat, and each
+/// response costs a call. A leaving target must be known everywhere within 2 s.
 const TARGETS_DELAY: Duration = Duration::from_millis(800);
-/// Pause after other news, so that a burst of changes takes one call.
+/// Delay after other changes, so that one call receives a burst of changes.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
-/// First and longest pause after a call that failed.
+/// Initial and maximum backoff after a failed call.
 const RETRY_BACKOFF: [Duration; 2] = [Duration::from_millis(150), Duration::from_secs(1)];
 
-/// What to ask the store for.
+/// A request to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreRequest {
-    /// All objects of the kind.
+    /// Lists all objects of the kind.
     List,
-    /// Changes after a revision.
+    /// Waits for changes after a revision.
     Watch {
-        /// The last revision that is known.
+        /// The last known revision.
         after: Revision,
-        /// Longest time that the store may wait for a change.
+        /// Maximum time for which the store may wait for a change.
         wait: Duration,
     },
 }
 
-/// Follows one kind of objects: what is asked next, and when.
+/// Decides on the requests for one kind of objects and on the delays between them.
 #[derive(Debug)]
 pub struct Follower {
     kind: Kind,
@@ -57,7 +58,7 @@
 }
 
 impl Follower {
-    /// Follows a kind from a revision on, or from its first list.
+    /// Creates a follower that starts with changes after a revision, or with a list.
     #[must_use]
     pub const fn new(kind: Kind, after: Option<Revision>) -> Self {
         Self {
@@ -68,19 +69,19 @@
         }
     }
 
-    /// What it follows.
+    /// The kind of objects.
     #[must_use]
     pub const fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// The revision up to which all is known; none before the first list.
+    /// The revision up to which all changes are known, or `None` before the first list.
     #[must_use]
     pub const fn after(&self) -> Option<Revision> {
         self.after
     }
 
-    /// What to ask next.
+    /// Returns the next request.
     #[must_use]
     pub const fn next_request(&self) -> StoreRequest {
         match self.after {
@@ -92,38 +93,39 @@
         }
     }
 
-    /// The store has answered with all up to a revision; gives the pause until the next call.
+    /// Records a response with all changes up to a revision. Returns the delay before the next
+    /// call.
     pub fn record_response(&mut self, revision: Revision, any_objects: bool) -> Duration {
         self.next_backoff = RETRY_BACKOFF[0];
-        let listed = self.after.replace(revision).is_none();
-        match (listed || !any_objects, self.kind) {
+        let is_list = self.after.replace(revision).is_none();
+        match (is_list || !any_objects, self.kind) {
             (true, _) => Duration::ZERO,
             (false, Kind::Targets) => TARGETS_DELAY,
             (false, _) => BATCH_DELAY,
         }
     }
 
-    /// A peer has told all up to a revision: unless the history since then is gone, nothing need be
-    /// listed.
+    /// Records a peer's copy of all objects up to a revision. No list is needed then, unless the
+    /// store has no history after that revision.
     pub fn record_copy(&mut self, revision: Revision) {
         if revision > self.history_gone_after {
             self.after = Some(revision);
         }
     }
 
-    /// The store no longer has the changes that were asked for: all is listed next.
+    /// Records that the store no longer has the requested changes. The next request is a list.
     pub const fn record_history_gone(&mut self) {
         if let Some(after) = self.after.take() {
             self.history_gone_after = after;
         }
     }
 
-    /// The call failed after it `took` so long; gives the pause until the next one. `spread`, around
-    /// 1, differs between instances that were turned away together.
+    /// Records a failed call and its duration. Returns the delay before the next call. `spread`,
+    /// around 1, differs between instances that failed together.
     ///
-    /// The pause keeps an instance that is refused at once from asking without a break. A call without
-    /// an answer has taken longer than that already: were it followed by a pause, the store could be
-    /// back for as long as both before it is asked.
+    /// The delay keeps an instance from calling in a tight loop when the store rejects calls at
+    /// once. A call without a response has already taken longer than the delay. With a delay after
+    /// it, the store could be back for the sum of both before the next call.
     pub fn record_failure(&mut self, took: Duration, spread: f64) -> Duration {
         let backoff = self.next_backoff;
         self.next_backoff = (backoff * 2).min(RETRY_BACKOFF[1]);
--- a/crates/gateway/src/decide/mod.rs
+++ b/crates/gateway/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions as plain state machines: time and randomness come in as arguments.
+//! Decisions as pure state machines; time and random numbers are passed as arguments.
 
 pub mod account;
 pub mod adapter;
--- a/crates/gateway/src/decide/peers.rs
+++ b/crates/gateway/src/decide/peers.rs
@@ -1,4 +1,4 @@
-//! The other instances: who lives, and what they tell.
+//! The other instances and their last known state.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,55 +12,56 @@
 use super::rendezvous::{ShortHash, weight};
 use super::status::{Role, Status};
 
-/// An instance as it registers itself.
+/// Registration of an instance.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Member {
-    /// Its name; kept across restarts.
+    /// Its name, which it keeps across restarts.
     pub name: InstanceId,
-    /// This life of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where callers connect.
+    /// Address for callers.
     pub front: SocketAddr,
-    /// Where peers send datagrams.
+    /// Address for datagrams of peers.
     pub gossip: SocketAddr,
-    /// Where peers read its configuration and targets.
+    /// Address from which peers copy its configuration and targets.
     pub control: SocketAddr,
-    /// Where it runs.
+    /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// What its machine can do, in hundredths of a processor core.
+    /// Capacity of its machine.
     pub strength: Strength,
 }
 
 impl Member {
-    /// Place in the order for a duty named by `key`; the highest comes first.
+    /// Precedence for the duty named by `key`; the highest comes first.
     ///
-    /// A duty costs an instance more than its callers do; on a weak machine orders to engines run out of
-    /// time. So the strongest come first.
+    /// Machines with the highest capacity come first. A duty costs an instance more than its
+    /// callers do, and on a machine with little capacity orders to engines time out.
     #[must_use]
     pub fn precedence(&self, key: u64) -> (Strength, u64) {
         (self.strength, weight(key, self.name.as_str()))
     }
 }
 
-/// What a machine can do, in hundredths of a processor core.
+/// Capacity of a machine, in hundredths of a processor core.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct Strength(pub u32);
 
-/// Silence after which a peer counts as down for callers and takeovers.
+/// Time without a status after which a peer counts as down for callers and takeovers.
 pub const DOWN_THRESHOLD: Duration = Duration::from_millis(1_100);
 
-/// Silence after which a peer no longer counts in the division of quotas, budgets and connections.
+/// Time without a status after which a peer no longer counts in the division of quotas, budgets and
+/// connections.
 ///
-/// Longer than a cut of a link usually lasts: such a peer still serves its callers.
+/// Longer than a link is usually interrupted, because such a peer still serves its callers.
 pub const GONE_THRESHOLD: Duration = Duration::from_secs(20);
 
-/// What an instance, or all of them, have at a target.
+/// Load of one or all instances at a target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Load {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Prompt tokens of those that have not begun.
+    /// Prompt tokens of the requests that the target has not started.
     pub prompts: u32,
 }
 
@@ -71,92 +72,92 @@
         self.prompts = self.prompts.saturating_add(other.prompts);
     }
 
-    /// Takes another load out.
+    /// Subtracts another load.
     pub fn subtract(&mut self, other: Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.prompts = self.prompts.saturating_sub(other.prompts);
     }
 }
 
-/// What a relay says of a peer.
+/// State of a peer as reported by a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayReport {
-    /// It was heard lately.
+    /// Whether it was seen recently.
     pub live: bool,
-    /// It takes callers.
+    /// Whether it accepts callers.
     pub ready: bool,
-    /// The store answers it.
+    /// Whether the store responds to it.
     pub store_reachable: bool,
-    /// What it knows of the store, if the relay says so.
+    /// Its store state, if the relay reports that.
     pub store: Option<StoreVersions>,
 }
 
-/// How new what an instance knows of the store is.
+/// Versions of the store data that an instance has.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct StoreVersions {
     /// Version of its configuration.
     pub config: Revision,
     /// Revision of its list of targets.
     pub targets: Revision,
-    /// Digest of what that list says.
+    /// Digest of the contents of that list.
     pub targets_digest: u32,
-    /// Sum of the adapter versions that it knows to be announced.
+    /// Sum of the announced adapter versions that it knows.
     pub versions: u64,
-    /// Digest of the verdicts on requests that it knows; zero if there is none.
+    /// Digest of the quarantine decisions that it knows; zero if there are none.
     pub quarantine_digest: u64,
 }
 
-/// What a peer last told.
+/// Last known state of a peer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Peer {
     /// Its registration.
     pub member: Member,
-    /// When it was last heard; none: known from the registry alone.
+    /// When it was last seen, or `None` if it is known only from its registration.
     pub last_seen: Option<Time>,
-    /// Count of the status that was last heard.
+    /// Sequence number of its last status.
     pub seq: u32,
-    /// Time in milliseconds since its life began, as it last told.
+    /// Time in milliseconds since its incarnation started, as of its last status.
     pub uptime_ms: u32,
-    /// Whether it passes news on between its failure domain and the others.
+    /// Its part in relaying updates.
     pub role: Role,
-    /// It takes callers.
+    /// It accepts callers.
     pub ready: bool,
-    /// The store answers it.
+    /// The store responds to it.
     pub store_reachable: bool,
     /// Version of its configuration.
     pub config: Revision,
     /// Revision of its list of targets.
     pub targets: Revision,
-    /// Digest of what that list says.
+    /// Digest of the contents of that list.
     pub targets_digest: u32,
-    /// Sum of the adapter versions that it knows to be announced.
+    /// Sum of the announced adapter versions that it knows.
     pub versions: u64,
-    /// Digest of the verdicts on requests that it knows; zero if there is none.
+    /// Digest of the quarantine decisions that it knows; zero if there are none.
     pub quarantine_digest: u64,
-    /// What it has at each target, by the target's hash.
+    /// Its load at each target, by the target's hash.
     pub in_flight: HashMap<ShortHash, Load>,
-    /// Loads from the weight store that it has under way.
+    /// Loads from the weight store in progress.
     pub loads: u16,
-    /// Adapters that wait for one on engines of its shards.
+    /// Adapters that wait for a load on engines of its shards.
     pub waiting_loads: u16,
-    /// Places for adapters on the engines of its shards.
+    /// Adapter slots of the engines of its shards.
     pub adapter_slots: HashMap<ShortHash, Places>,
-    /// Loader shards on which it orders.
+    /// Loader shards for which it may order loads.
     pub shards: Vec<u8>,
-    /// Loader shards that it holds, also while it may not order yet.
+    /// Loader shards that it holds, including those for which it may not order loads yet.
     pub claims: Vec<u8>,
 }
 
-/// All peers, the own instance left out.
+/// All peers, without the local instance.
 #[derive(Debug, Default)]
 pub struct Peers {
     known: BTreeMap<InstanceId, Peer>,
-    /// Requests of all peers at each target. The sum is kept, not made for each request: that would
-    /// take a look-up for each peer and target at every choice.
+    /// Load of all peers at each target. Summing on demand would take a lookup for each peer and
+    /// target at every choice of a target.
     sums: HashMap<ShortHash, Load>,
-    /// Names behind short hashes.
+    /// Names by short hash.
     names: HashMap<ShortHash, InstanceId>,
-    /// News from a relay; while there are any, they stand in place of the sums.
+    /// Last update of the upstream relay. Its sums are used instead of `sums` while it is set.
     view: Option<RelayView>,
 }
 
@@ -169,7 +170,7 @@
 }
 
 impl Peers {
-    /// Takes in a registration from the store or from a peer's copy.
+    /// Adds a registration from the store or from a peer's copy.
     pub fn register(&mut self, member: Member) {
         match self.known.get_mut(&member.name) {
             Some(peer) if peer.last_seen.is_some() => {}
@@ -178,15 +179,15 @@
         }
     }
 
-    /// Forgets a registration that is gone, unless the peer is still heard.
+    /// Removes a peer whose registration is gone, unless it was seen recently.
     pub fn unregister(&mut self, name: &InstanceId, now: Time) {
-        let heard = |peer: &Peer| peer.seen_within(DOWN_THRESHOLD, now);
-        if self.known.get(name).is_some_and(|peer| !heard(peer)) {
+        let is_live = |peer: &Peer| peer.seen_within(DOWN_THRESHOLD, now);
+        if self.known.get(name).is_some_and(|peer| !is_live(peer)) {
             self.remove(name);
         }
     }
 
-    /// A peer has ended as planned.
+    /// Removes a peer, for example after a planned stop.
     pub fn remove(&mut self, name: &InstanceId) {
         if let Some(peer) = self.known.remove(name) {
             subtract(&mut self.sums, &peer.in_flight);
@@ -200,58 +201,58 @@
         }
         let name = peer.member.name.clone();
         match self.known.insert(name.clone(), peer) {
-            Some(before) => subtract(&mut self.sums, &before.in_flight),
+            Some(former) => subtract(&mut self.sums, &former.in_flight),
             None => {
                 self.names.insert(ShortHash::of(name.as_str()), name);
             }
         }
     }
 
-    /// Takes the requests of peers that fell silent out of the sums, and forgets empty ones.
+    /// Subtracts the load of peers that are down from the sums, and removes empty sums.
     pub fn sweep(&mut self, now: Time) {
-        let silent = self.known.values_mut();
-        let silent = silent.filter(|peer| !peer.seen_within(DOWN_THRESHOLD, now));
-        for peer in silent {
+        let down = self.known.values_mut();
+        let down = down.filter(|peer| !peer.seen_within(DOWN_THRESHOLD, now));
+        for peer in down {
             subtract(&mut self.sums, &peer.in_flight);
             peer.in_flight.clear();
         }
         self.sums.retain(|_, sum| *sum != Load::default());
     }
 
-    /// Takes in what a peer told.
+    /// Replaces the state of a peer.
     pub fn update(&mut self, peer: Peer) {
         self.insert(peer);
     }
 
-    /// The registration behind a short hash, if it is of that life.
+    /// Returns the registration for a short hash, if it is of that incarnation.
     #[must_use]
     pub fn member(&self, from: ShortHash, incarnation: u64) -> Option<&Member> {
         let member = &self.by_hash(from)?.member;
         (member.incarnation.0 == incarnation).then_some(member)
     }
 
-    /// The peer behind a short hash.
+    /// Returns the peer for a short hash.
     #[must_use]
     pub fn by_hash(&self, name: ShortHash) -> Option<&Peer> {
         self.known.get(self.names.get(&name)?)
     }
 
-    /// Whether a peer tells from this address.
+    /// Whether a peer sends from this address.
     #[must_use]
     pub fn is_at(&self, name: &InstanceId, address: SocketAddr) -> bool {
         let peer = self.known.get(name);
         peer.is_some_and(|peer| peer.member.gossip == address)
     }
 
-    /// The peer that tells from this address.
+    /// Returns the peer that sends from this address.
     #[must_use]
     pub fn at(&self, address: SocketAddr) -> Option<&Peer> {
         let mut peers = self.known.values();
         peers.find(|peer| peer.member.gossip == address)
     }
 
-    /// A relay says how a peer is; its requests are in the relay's sums.
-    pub fn apply_relay_report(&mut self, name: ShortHash, word: RelayReport, now: Time) {
+    /// Applies a relay's report on a peer. The load of the peer is part of the relay's sums.
+    pub fn apply_relay_report(&mut self, name: ShortHash, report: RelayReport, now: Time) {
         let Some(name) = self.names.get(&name) else {
             return;
         };
@@ -260,15 +261,15 @@
         };
         subtract(&mut self.sums, &peer.in_flight);
         peer.in_flight.clear();
-        if !word.live {
-            let down = now - DOWN_THRESHOLD;
-            peer.last_seen = peer.last_seen.map(|heard| heard.min(down));
+        if !report.live {
+            let down_since = now - DOWN_THRESHOLD;
+            peer.last_seen = peer.last_seen.map(|last_seen| last_seen.min(down_since));
             return;
         }
         peer.last_seen = Some(now);
-        peer.ready = word.ready;
-        peer.store_reachable = word.store_reachable;
-        if let Some(store) = word.store {
+        peer.ready = report.ready;
+        peer.store_reachable = report.store_reachable;
+        if let Some(store) = report.store {
             peer.config = store.config;
             peer.targets = store.targets;
             peer.targets_digest = store.targets_digest;
@@ -277,18 +278,18 @@
         }
     }
 
-    /// Puts news from a relay in place of the sums, or the sums back.
+    /// Sets the relay's update whose sums are used, or returns to the sums of direct statuses.
     pub fn set_view(&mut self, view: Option<RelayView>) {
         self.view = view;
     }
 
-    /// News from a relay that stand in place of the sums.
+    /// The relay's update whose sums are used instead of those of direct statuses.
     #[must_use]
     pub const fn view(&self) -> Option<&RelayView> {
         self.view.as_ref()
     }
 
-    /// Takes in who a peer is; a new life replaces the old one.
+    /// Sets the registration of a peer; a new incarnation replaces the old one.
     pub fn set_member(&mut self, member: Member) {
         let known = self.known.get(&member.name);
         if known.is_none_or(|peer| peer.member != member) {
@@ -296,32 +297,33 @@
         }
     }
 
-    /// The peer of that name.
+    /// Returns the peer with that name.
     #[must_use]
     pub fn get(&self, name: &InstanceId) -> Option<&Peer> {
         self.known.get(name)
     }
 
-    /// All peers, silent ones included.
+    /// All peers, including those that are down.
     pub fn all(&self) -> impl Iterator<Item = &Peer> {
         self.known.values()
     }
 
-    /// Peers that were heard lately.
+    /// Peers that were seen within [`DOWN_THRESHOLD`].
     pub fn live(&self, now: Time) -> impl Iterator<Item = &Peer> {
-        let live = move |peer: &&Peer| peer.seen_within(DOWN_THRESHOLD, now);
-        self.known.values().filter(live)
+        let is_live = move |peer: &&Peer| peer.seen_within(DOWN_THRESHOLD, now);
+        self.known.values().filter(is_live)
     }
 
-    /// Instances that share quotas, budgets and connections, this one included.
+    /// Number of instances that share quotas, budgets and connections, including this one.
     #[must_use]
     pub fn sharing_count(&self, now: Time) -> usize {
-        let shares = |peer: &&Peer| peer.seen_within(GONE_THRESHOLD, now);
-        1 + self.known.values().filter(shares).count()
+        let is_sharing = |peer: &&Peer| peer.seen_within(GONE_THRESHOLD, now);
+        1 + self.known.values().filter(is_sharing).count()
     }
 
-    /// Part of the sharing instances that can't be heard now, between 0 and 1. An instance that is `new` has not
-    /// heard all that are registered yet: they are taken to spend, too.
+    /// Fraction of the sharing instances that are down, between 0 and 1. An instance that is `new`
+    /// may not have seen all registered peers yet; those that it has not seen are assumed to spend,
+    /// too.
     #[must_use]
     pub fn silent_fraction(&self, new: bool, now: Time) -> f64 {
         let undiscovered = self
@@ -329,19 +331,19 @@
             .values()
             .filter(|peer| new && peer.last_seen.is_none());
         let sharing = self.sharing_count(now) + undiscovered.count();
-        let silent = sharing - 1 - self.live(now).count();
-        let [silent, sharing] = [silent, sharing].map(|count| u32::try_from(count).unwrap_or(1));
-        f64::from(silent) / f64::from(sharing)
+        let down = sharing - 1 - self.live(now).count();
+        let [down, sharing] = [down, sharing].map(|count| u32::try_from(count).unwrap_or(1));
+        f64::from(down) / f64::from(sharing)
     }
 
-    /// What peers have at a target, as they last told.
+    /// Load of all peers at a target.
     #[must_use]
     pub fn load(&self, target: ShortHash) -> Load {
         let sums = self.view.as_ref().map_or(&self.sums, |view| &view.loads);
         sums.get(&target).copied().unwrap_or_default()
     }
 
-    /// The live peer that holds a loader shard.
+    /// Returns the live peer that holds a loader shard.
     #[must_use]
     pub fn holder(&self, shard: u8, now: Time) -> Option<&Peer> {
         self.live(now).find(|peer| peer.shards.contains(&shard))
@@ -372,12 +374,12 @@
         }
     }
 
-    /// What an instance told of itself, last heard at a time.
+    /// Creates the state of a peer from its status.
     #[must_use]
-    pub fn from_status(member: Member, status: &Status, heard: Time) -> Self {
+    pub fn from_status(member: Member, status: &Status, last_seen: Time) -> Self {
         Self {
             member,
-            last_seen: Some(heard),
+            last_seen: Some(last_seen),
             seq: status.seq,
             uptime_ms: status.uptime_ms,
             role: status.role,
@@ -397,17 +399,17 @@
         }
     }
 
-    /// What it told, but for its spending, for others.
+    /// Returns the peer's status for others, without its spending.
     #[must_use]
     pub fn status(&self, now: Time) -> Status {
-        let held = self
+        let age = self
             .last_seen
-            .map_or(Duration::ZERO, |heard| now.since(heard));
+            .map_or(Duration::ZERO, |last_seen| now.since(last_seen));
         Status {
             from: ShortHash::of(self.member.name.as_str()),
             incarnation: self.member.incarnation.0,
             seq: self.seq,
-            age_ms: u16::try_from(held.as_millis()).unwrap_or(u16::MAX),
+            age_ms: u16::try_from(age.as_millis()).unwrap_or(u16::MAX),
             ready: self.ready,
             store_reachable: self.store_reachable,
             ended: false,
@@ -429,16 +431,17 @@
             adapter_slots: self
                 .adapter_slots
                 .iter()
-                .map(|(hash, at)| (*hash, *at))
+                .map(|(hash, slots)| (*hash, *slots))
                 .collect(),
             shards: self.shards.clone(),
             claims: self.claims.clone(),
         }
     }
 
-    /// Whether it was heard within `span` before `now`.
+    /// Whether the peer was seen within `span` before `now`.
     #[must_use]
     pub fn seen_within(&self, span: Duration, now: Time) -> bool {
-        self.last_seen.is_some_and(|heard| now.since(heard) < span)
+        self.last_seen
+            .is_some_and(|last_seen| now.since(last_seen) < span)
     }
 }
--- a/crates/gateway/src/decide/registry.rs
+++ b/crates/gateway/src/decide/registry.rs
@@ -1,4 +1,4 @@
-//! The targets that may be used, from their registrations.
+//! The registered targets.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -12,36 +12,40 @@
 use super::rendezvous::{ShortHash, name_hash, weight};
 use super::target::Target;
 
-/// How long after the store's return a registration that lapsed in its outage may take to come back.
+/// Time after the store's recovery within which a registration that expired during the outage may
+/// come back.
 ///
-/// Registrations lapse while the store is away though their targets live; the platform has them
-/// back within about 2 s of its return. This instance notices the return up to 1.2 s late, and 3 s
-/// after it the bound on leaving targets holds again, so a little less than the 2 s are given.
+/// Registrations expire while the store is unavailable although their targets are alive; the
+/// platform restores them within about 2 s of the recovery. This instance notices the recovery up
+/// to 1.2 s late, and 3 s after it the bound on leaving targets holds again, so the grace period is
+/// a little shorter than the 2 s.
 const RETURN_GRACE: Duration = Duration::from_millis(1_800);
-/// Shortest outage in which a registration can lapse: targets report every 1.2 s and lapse after
-/// three reports that are missing, the first of which may have been due when it began.
+/// Shortest outage in which a registration can expire. Targets report every 1.2 s and expire after
+/// three missing reports, the first of which may have been due when the outage began.
 const MIN_LAPSE_OUTAGE: Duration = Duration::from_millis(2_300);
-/// How long after a call that failed the store counts as away; the longest pause between two calls
-/// is 1 s, and an answer takes up to 1.2 s.
+/// Time after a failed call for which the store counts as unavailable. The longest delay between
+/// two calls is 1 s, and a response takes up to 1.2 s.
 const AWAY_PERIOD: Duration = Duration::from_millis(2_200);
 
-/// Longest time between two answers to a follower; targets report every 1.2 s, and it pauses 0.8 s.
+/// Maximum time between two responses to a follower. Targets report every 1.2 s, and a follower
+/// waits 0.8 s between calls.
 const FOLLOWER_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Targets for a peer: those that it lacks, or all.
+/// Targets for a peer: either all, or the changes that it lacks.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RegistryCopy {
-    /// Revision of the newest news in it.
+    /// Revision of the newest change in it.
     pub revision: Revision,
-    /// Digest of the giver's whole list.
+    /// Digest of the sender's full list.
     pub digest: u32,
-    /// It holds all targets, not only what changed.
+    /// It contains all targets, not only changes.
     pub complete: bool,
-    /// Registrations that are there, with the revision of their last change.
+    /// Registered targets, with the revision of their last change.
     pub targets: Vec<(Revision, Target)>,
-    /// Targets that were removed since, if it isn't whole.
+    /// Removed targets, if the copy is not complete.
     pub removed: Vec<(Revision, TargetId)>,
-    /// Names of those that vanished in an outage of the store, with the time left to come back.
+    /// Targets whose registrations vanished in an outage of the store, with the remaining time for
+    /// them to come back.
     pub in_grace: Vec<(TargetId, Duration)>,
 }
 
@@ -52,43 +56,44 @@
     until: Time,
 }
 
-/// Registrations by name.
+/// Registered targets by name.
 #[derive(Debug, Default)]
 pub struct Registry {
     targets: BTreeMap<TargetId, Target>,
     vanished: HashMap<TargetId, Vanished>,
-    /// When this instance first saw each target's present life.
+    /// When this instance first saw the current incarnation of each target.
     first_seen: HashMap<TargetId, Time>,
     changes: ChangeLog,
-    /// Digest of the targets as they are; none after a change.
+    /// Cached digest of the targets, or `None` after a change.
     digest: Cell<Option<u32>>,
-    /// A copy of changes did not lead to the giver's list: the next one must be whole.
+    /// A copy of changes did not result in the sender's list, so the next copy must be complete.
     diverged: bool,
     revision: Revision,
     away_until: Time,
-    /// The store's last answer to this instance was a failure.
+    /// The last call to the store failed.
     last_call_failed: bool,
-    /// While the first answer after an outage is taken in: until when what vanished may come back.
+    /// Set while the first response after an outage is applied: the time until which vanished
+    /// registrations may come back.
     grace_until: Option<Time>,
     followed_since: Option<Time>,
     last_response: Time,
 }
 
 impl Registry {
-    /// Revision of the newest news.
+    /// Revision of the newest known change.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The store can't be reached.
+    /// Records that a call to the store failed.
     pub fn record_store_failure(&mut self, now: Time) {
         self.away_until = now + AWAY_PERIOD;
         self.last_call_failed = true;
         self.grace_until = None;
     }
 
-    /// This instance begins or ends to follow the store.
+    /// Records whether this instance follows the store.
     pub fn set_following(&mut self, follows: bool, now: Time) {
         match (follows, self.followed_since) {
             (true, None) => self.followed_since = Some(now),
@@ -97,40 +102,42 @@
         }
     }
 
-    /// The store has answered what it was asked about targets; called before the answer is taken in.
+    /// Records a response of the store about targets. Called before the response is applied.
     ///
-    /// What the first answer after a long enough outage lacks may belong to targets that live. What
-    /// vanishes later has left: were it kept as well, an instance back from a cut of its own would
-    /// send to a target more than 2 s after it was gone.
+    /// Registrations that are missing from the first response after a long enough outage may belong
+    /// to live targets. A registration that vanishes later belongs to a target that left. If it
+    /// were kept as well, an instance after a partition of its own would send requests to a target
+    /// more than 2 s after it was gone.
     pub fn record_store_response(&mut self, now: Time) {
         let before = self
             .followed_since
             .unwrap_or_default()
             .max(self.last_response);
-        let lapses =
+        let can_lapse =
             std::mem::take(&mut self.last_call_failed) && now.since(before) >= MIN_LAPSE_OUTAGE;
-        self.grace_until = lapses.then(|| now + RETURN_GRACE);
+        self.grace_until = can_lapse.then(|| now + RETURN_GRACE);
         self.last_response = now;
     }
 
-    /// Whether the store answers this instance, as far as it knows.
+    /// Whether the store responds to this instance, as far as known.
     ///
-    /// A follower that was suspended, or whose watch hangs in a cut network, has met no error yet;
-    /// silence alone tells, and others must follow in its place before a leaving target's time is
-    /// over.
+    /// A follower that was suspended, or whose watch hangs in a partitioned network, has not
+    /// received an error yet. Only the missing response shows this, and other instances must follow
+    /// in its place before the time of a leaving target is over.
     #[must_use]
     pub fn is_store_reachable(&self, now: Time) -> bool {
-        let silent = |since: Time| now.since(since.max(self.last_response)) > FOLLOWER_TIMEOUT;
-        !self.is_store_away(now) && !self.followed_since.is_some_and(silent)
+        let is_timed_out =
+            |since: Time| now.since(since.max(self.last_response)) > FOLLOWER_TIMEOUT;
+        !self.is_store_away(now) && !self.followed_since.is_some_and(is_timed_out)
     }
 
-    /// The store could not be reached lately.
+    /// Whether a call to the store failed recently.
     #[must_use]
     pub fn is_store_away(&self, now: Time) -> bool {
         now < self.away_until
     }
 
-    /// Takes in a whole list.
+    /// Replaces all targets by a full list.
     pub fn replace(&mut self, targets: Vec<Target>, revision: Revision, now: Time) {
         let absent = self
             .targets
@@ -148,17 +155,17 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes in what a peer gave. Targets that are `in_grace` there stay here too, if they are known:
+    /// Applies a peer's copy. Known targets that are `in_grace` there are kept here, too, because
     /// their registrations may come back.
     pub fn apply_copy(&mut self, copy: RegistryCopy, now: Time) {
         if copy.revision <= self.revision && !self.diverged {
             return;
         }
-        for (id, left) in copy.in_grace {
+        for (id, remaining) in copy.in_grace {
             if self.targets.contains_key(&id) {
                 let vanished = Vanished {
                     at: copy.revision,
-                    until: now + left,
+                    until: now + remaining,
                 };
                 self.vanished.entry(id).or_insert(vanished);
             }
@@ -186,7 +193,8 @@
         self.diverged = self.revision == copy.revision && self.digest() != copy.digest;
     }
 
-    /// The revision up to which a peer's copy need not tell; none known if all is needed.
+    /// Returns the revision after which changes are missing here, or the default revision if a
+    /// complete copy is needed.
     #[must_use]
     pub fn copied_revision(&self) -> Revision {
         if self.diverged {
@@ -195,14 +203,14 @@
         self.revision
     }
 
-    /// What a peer may copy that knows all up to `have`: registrations that vanished are named, not
-    /// given.
+    /// Returns a copy for a peer that knows all changes up to `have`. Vanished registrations are
+    /// listed only by name.
     ///
-    /// An instance that comes back from a cut keeps a target that is gone for a while, with the
-    /// newest revision; were it in the copy, all others would send to it again.
+    /// An instance that returns from a partition keeps a removed target for a while, with the
+    /// newest revision. If it were in the copy, all others would send requests to it again.
     ///
-    /// A list of thousands of targets is hundreds of kilobytes. Were it given whole each time, a large
-    /// fleet would copy lists for as long as it may take to put a configuration in force.
+    /// A list of thousands of targets takes hundreds of kilobytes. With complete copies each time,
+    /// a large fleet would copy lists for as long as a new configuration may take to be in force.
     #[must_use]
     pub fn copy_since(&self, have: Revision, now: Time) -> RegistryCopy {
         let vanished = self.vanished.iter();
@@ -212,12 +220,12 @@
             let at = self.changes.last_change(&target.id);
             (at, target)
         });
-        let lacked = known.filter(|(at, _)| complete || *at > have);
+        let missing = known.filter(|(at, _)| complete || *at > have);
         RegistryCopy {
             revision: self.revision,
             digest: self.digest(),
             complete,
-            targets: lacked.map(|(at, target)| (at, target.clone())).collect(),
+            targets: missing.map(|(at, target)| (at, target.clone())).collect(),
             removed: removed.unwrap_or_default(),
             in_grace: vanished
                 .map(|(id, vanished)| (id.clone(), vanished.until.since(now)))
@@ -225,20 +233,21 @@
         }
     }
 
-    /// Targets whose registrations are there.
+    /// Targets whose registrations have not vanished.
     fn present(&self) -> impl Iterator<Item = &Target> {
         let vanished = &self.vanished;
         let targets = self.targets.values();
         targets.filter(|target| !vanished.contains_key(&target.id))
     }
 
-    /// The targets that the digest is of, in one order for all who have the same.
+    /// Hashes of the targets behind the digest; instances with the same digest have them in the
+    /// same order.
     pub fn target_hashes(&self) -> impl Iterator<Item = ShortHash> {
         let present = self.present();
         present.map(|target| ShortHash::of(target.id.as_str()))
     }
 
-    /// Takes in one registration, unless something newer is known of the target.
+    /// Adds or updates a target, unless a newer change of it is known.
     pub fn put(&mut self, target: Target, revision: Revision, now: Time) {
         let id = target.id.clone();
         if self.changes.is_outdated(&id, revision) {
@@ -249,8 +258,9 @@
         if before.is_none_or(|before| before.born != target.born) {
             self.first_seen.insert(id.clone(), now);
         }
-        let reports_only = before.is_some_and(|before| before.differs_in_adapters_only(&target));
-        if returned || !reports_only {
+        let only_adapters_differ =
+            before.is_some_and(|before| before.differs_in_adapters_only(&target));
+        if returned || !only_adapters_differ {
             self.changes.record_change(&id, revision);
             self.digest.set(None);
         }
@@ -258,7 +268,7 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// A registration is gone.
+    /// Removes a target, or keeps it for the grace period after an outage.
     pub fn remove(&mut self, id: &TargetId, revision: Revision, now: Time) {
         self.revision = self.revision.max(revision);
         if self.changes.is_outdated(id, revision) {
@@ -285,15 +295,18 @@
         self.digest.set(None);
     }
 
-    /// The store's news up to `revision` are in.
+    /// Records that all changes of the store up to `revision` are applied.
     pub fn advance_revision(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Drops registrations that did not come back in time.
+    /// Removes targets whose registrations did not come back in time.
     pub fn sweep(&mut self, now: Time) {
-        let expired = self.vanished.iter().filter(|(_, held)| held.until <= now);
-        let expired = expired.map(|(id, held)| (id.clone(), held.at));
+        let expired = self
+            .vanished
+            .iter()
+            .filter(|(_, vanished)| vanished.until <= now);
+        let expired = expired.map(|(id, vanished)| (id.clone(), vanished.at));
         for (id, at) in expired.collect::<Vec<_>>() {
             self.drop_target(&id, at);
         }
@@ -301,8 +314,8 @@
         self.first_seen.retain(|id, _| targets.contains_key(id));
     }
 
-    /// Digest of what matters to a request: two instances with the same one send to the same
-    /// targets. Heartbeats of targets change the revision, not this.
+    /// Digest of the properties that matter to requests. Two instances with the same digest send
+    /// requests to the same targets. Heartbeats of targets change the revision, but not the digest.
     #[must_use]
     pub fn digest(&self) -> u32 {
         if let Some(digest) = self.digest.get() {
@@ -316,31 +329,33 @@
     fn compute_digest(&self) -> u32 {
         let folded = self.present().fold(0, |digest, target| {
             let address = target.address.to_string();
-            let life = target.born.unwrap_or(0);
+            let incarnation = target.born.unwrap_or(0);
             let models = u64::try_from(target.models.len()).unwrap_or(0);
             let state = u64::from(target.leaving) + models * 2;
-            let own = weight(
-                life.wrapping_mul(64).wrapping_add(state),
+            let hash = weight(
+                incarnation.wrapping_mul(64).wrapping_add(state),
                 target.id.as_str(),
             );
-            digest ^ own ^ name_hash(&address)
+            digest ^ hash ^ name_hash(&address)
         });
         u32::try_from(folded >> 32).unwrap_or(0)
     }
 
-    /// The target of that name.
+    /// Returns the target with that name.
     #[must_use]
     pub fn get(&self, id: &TargetId) -> Option<&Target> {
         self.targets.get(id)
     }
 
-    /// When this instance first saw the present life of a target: no earlier than it began.
+    /// Returns when this instance first saw the current incarnation of a target; it did not start
+    /// later.
     #[must_use]
     pub fn incarnation_seen_at(&self, id: &TargetId) -> Option<Time> {
         self.first_seen.get(id).copied()
     }
 
-    /// Lives among `targets` that began more than `age` ago, or that `before` names as such.
+    /// Returns the incarnations among `targets` that this instance first saw more than `age` ago,
+    /// and those listed in `before`.
     #[must_use]
     pub fn settled_incarnations(
         &self,
@@ -349,17 +364,17 @@
         age: Duration,
         now: Time,
     ) -> Vec<ShortHash> {
-        let theirs = self.targets.values().filter(|target| targets(&target.id));
-        let settled = theirs.filter_map(|target| {
-            let life = target.life()?;
+        let selected = self.targets.values().filter(|target| targets(&target.id));
+        let settled = selected.filter_map(|target| {
+            let incarnation = target.life()?;
             let seen = self.first_seen.get(&target.id);
-            let old = seen.is_some_and(|seen| now.since(*seen) > age);
-            (old || before.contains(&life)).then_some(life)
+            let is_settled = seen.is_some_and(|seen| now.since(*seen) > age);
+            (is_settled || before.contains(&incarnation)).then_some(incarnation)
         });
         settled.collect()
     }
 
-    /// All targets, leaving ones included.
+    /// All targets, including those that are leaving.
     pub fn all(&self) -> impl Iterator<Item = &Target> {
         self.targets.values()
     }
--- a/crates/gateway/src/decide/rendezvous.rs
+++ b/crates/gateway/src/decide/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: everyone finds the same order without talking.
+//! Rendezvous hashing: all instances compute the same order without communication.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -9,8 +9,8 @@
     xxh3_64(name.as_bytes())
 }
 
-/// Short hash of a name, for datagrams. Two of a few hundred names share one by chance about once
-/// in 50,000 fleets.
+/// Short hash of a name, for datagrams. In a fleet of a few hundred names, the probability of a
+/// collision is about 1 in 50,000.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
@@ -18,13 +18,13 @@
 pub struct ShortHash(u32);
 
 impl ShortHash {
-    /// Hash of a name.
+    /// Computes the hash of a name.
     #[must_use]
     pub fn of(name: &str) -> Self {
         Self(u32::try_from(name_hash(name) >> 32).unwrap_or(0))
     }
 
-    /// The hash as a number.
+    /// Returns the hash as a number.
     #[must_use]
     pub const fn bits(self) -> u32 {
         self.0
--- a/crates/gateway/src/decide/store_calls.rs
+++ b/crates/gateway/src/decide/store_calls.rs
@@ -1,7 +1,7 @@
-//! What this instance last asked the store for, by kind of objects.
+//! The last call of this instance to the store for each kind of objects.
 //!
-//! A call that waits for news and one whose answer will never come look alike from outside. Its age
-//! beside the age of the last answer tells operators which it is.
+//! A call that waits for changes looks like one that will never get a response. Operators can tell
+//! them apart by the age of the call and the age of the last response.
 
 use std::collections::BTreeMap;
 
@@ -9,37 +9,37 @@
 
 use super::kind::Kind;
 
-/// The calls about one kind of objects.
+/// The calls for one kind of objects.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct StoreCall {
-    /// When the open call was made; none: no call is open.
+    /// When the open call was made, or `None` if no call is open.
     pub open_since: Option<Time>,
-    /// When the last answer came; none: never.
+    /// When the last response arrived, or `None` if there was none.
     pub last_response: Option<Time>,
 }
 
-/// The calls about all kinds that this instance has asked for.
+/// The calls by kind of objects.
 #[derive(Clone, Debug, Default)]
 pub struct StoreCalls {
     by_kind: BTreeMap<Kind, StoreCall>,
 }
 
 impl StoreCalls {
-    /// A call was made.
+    /// Records the start of a call.
     pub fn record_start(&mut self, kind: Kind, now: Time) {
         self.by_kind.entry(kind).or_default().open_since = Some(now);
     }
 
-    /// The open call has ended, with an answer of the store or without one.
-    pub fn record_end(&mut self, kind: Kind, answered: bool, now: Time) {
+    /// Records the end of the open call, and whether the store responded.
+    pub fn record_end(&mut self, kind: Kind, has_response: bool, now: Time) {
         let call = self.by_kind.entry(kind).or_default();
         call.open_since = None;
-        if answered {
+        if has_response {
             call.last_response = Some(now);
         }
     }
 
-    /// The calls by kind.
+    /// Returns the calls by kind.
     pub fn all(&self) -> impl Iterator<Item = (Kind, StoreCall)> {
         self.by_kind.iter().map(|(kind, call)| (*kind, *call))
     }
--- a/crates/gateway/src/decide/tables.rs
+++ b/crates/gateway/src/decide/tables.rs
@@ -1,4 +1,4 @@
-//! All that an instance knows, and the decisions that need several parts of it.
+//! The state of an instance, and the decisions that depend on several parts of it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -28,86 +28,90 @@
 use super::store_calls::StoreCalls;
 use super::versions::Versions;
 
-/// Part of a route's target latency for which a request waits for its workspace's quota: a refused
-/// caller would lose more on its way back, and an engine still answers in the rest.
+/// Fraction of a route's target latency for which a request may wait for its workspace's quota. A
+/// rejected caller would lose more time on its way back, and an engine can still respond in the
+/// rest.
 const QUOTA_WAIT_FRACTION: f64 = 0.4;
-/// Longest time that a refused caller is told to wait; later it has little time left.
+/// Maximum time after which a rejected caller is told to retry. With a longer one the caller would
+/// have little time left.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// Loads on the engines whose shards an instance holds.
+/// Loads on the engines whose shards this instance holds.
 #[derive(Clone, Debug, Default)]
 pub struct LocalLoads {
-    /// Loads from the weight store that are under way.
+    /// Loads from the weight store in progress.
     pub active: u16,
     /// Adapters that wait for a load.
     pub waiting: u16,
-    /// Places for adapters on each engine.
+    /// Adapter slots of each engine.
     pub adapter_slots: HashMap<ShortHash, Places>,
 }
 
-/// All that an instance knows.
+/// The state of an instance.
 #[derive(Debug)]
 pub struct Tables {
-    /// This instance.
+    /// Registration of this instance.
     pub local: Member,
     /// When the process started.
     pub started: Time,
     /// The configuration in force.
     pub routes: Arc<RouteTable>,
-    /// Targets.
+    /// Registered targets.
     pub registry: Registry,
     /// Other instances.
     pub peers: Peers,
-    /// Buckets of workspaces.
+    /// Quotas of workspaces.
     pub quotas: Quotas,
-    /// Requests and repeats.
+    /// Counts of requests and retries.
     pub retries: RetryCounts,
-    /// What targets proved to be.
+    /// Health of targets.
     pub health: Health,
-    /// Limits that targets name.
+    /// Request limits that targets report.
     pub limits: Limits,
-    /// Requests under which targets end.
+    /// Requests under which targets crash.
     pub quarantine: Quarantine,
-    /// Which engine holds which adapter.
+    /// Resident adapters of engines.
     pub residency: Residency,
     /// Newest versions of adapters.
     pub versions: Versions,
-    /// Requests that engines have not begun.
+    /// Prompts that engines have not started.
     pub queues: PromptQueues,
-    /// Shards on which this instance may order loads now.
+    /// Shards for which this instance may order loads.
     pub shards: Vec<u8>,
-    /// Shards whose leases this instance holds, also while it may not order yet.
+    /// Shards whose leases this instance holds, including those for which it may not order loads
+    /// yet.
     pub claims: Vec<u8>,
     /// Loads on the engines whose shards this instance holds.
     pub loads: LocalLoads,
     /// Calls to the store by kind of objects.
     pub store_calls: StoreCalls,
-    /// What is told to other instances and heard from them.
+    /// Exchange of state with other instances.
     pub exchange: Exchange,
-    /// A planned stop was asked for.
+    /// Whether a planned stop was requested.
     pub stopping: bool,
     budget: RetryBudget,
     in_flight: HashMap<TargetId, u32>,
-    /// Suspected requests of this instance at each target.
+    /// Requests suspected of crashing targets that this instance has at each target.
     pub(super) suspects_at: HashMap<TargetId, u32>,
-    /// Where adapters were asked for lately, so that all that wait for one wait at one engine.
+    /// The engine last chosen to load each adapter, so that all requests for an adapter wait at one
+    /// engine.
     pub(super) recent_engines: HashMap<AdapterKey, (TargetId, Time)>,
 }
 
-/// A request that may go on.
+/// An admitted request.
 #[derive(Clone, Debug)]
 pub struct Ticket {
     routes: Arc<RouteTable>,
     route: usize,
     /// The service that runs it.
     pub service: ServiceId,
-    /// Who pays.
+    /// The workspace that is charged.
     pub workspace: Option<WorkspaceId>,
-    /// What was charged.
+    /// Units that were charged.
     pub charge: u64,
-    /// Time until the quota has room for it.
+    /// Time to wait until the quota allows the request.
     pub quota_wait: Duration,
-    /// Rank, 0 first.
+    /// Priority rank; 0 comes first.
     pub rank: u8,
 }
 
@@ -118,7 +122,7 @@
         self.routes.route(self.route)
     }
 
-    /// Version of the configuration that it was admitted under.
+    /// Version of the configuration under which the request was admitted.
     #[must_use]
     pub fn config(&self) -> Revision {
         self.routes.version()
@@ -126,7 +130,7 @@
 }
 
 impl Tables {
-    /// Knows nothing but itself.
+    /// Creates the state of an instance that knows only itself.
     #[must_use]
     pub fn new(local: Member, budget: RetryBudget) -> Self {
         Self {
@@ -156,43 +160,43 @@
         }
     }
 
-    /// Puts another limit on repeats in force.
+    /// Replaces the budget of retries.
     pub fn set_retry_budget(&mut self, budget: RetryBudget) {
         self.budget = budget;
     }
 
-    /// A configuration is known.
+    /// Whether a configuration is known.
     #[must_use]
     pub fn configured(&self) -> bool {
         self.routes.version() > Revision::default()
     }
 
-    /// Callers may be sent here.
+    /// Whether this instance accepts callers.
     #[must_use]
     pub fn ready(&self) -> bool {
         self.configured() && !self.stopping
     }
 
-    /// Puts a configuration in force, unless it is older; true if it is newer.
+    /// Puts a configuration in force if it is newer. Returns whether it is.
     pub fn adopt(&mut self, config: Config, now: Time) -> bool {
         if config.version <= self.routes.version() {
             return false;
         }
-        let silent = self.unknown_spending_fraction(now);
+        let unknown = self.unknown_spending_fraction(now);
         for workspace in &config.workspaces {
             if let Some(quota) = workspace.quota {
-                self.quotas.prepare(&workspace.name, quota, silent, now);
+                self.quotas.prepare(&workspace.name, quota, unknown, now);
             }
         }
         self.routes = Arc::new(RouteTable::new(Arc::new(config)));
         true
     }
 
-    /// Lets a request in, or says why not. `draw` is random.
+    /// Admits or rejects a request. `draw` is a random number.
     ///
     /// # Errors
     ///
-    /// The refusal, if the request may not go on.
+    /// Returns the refusal if the request is rejected.
     pub fn admit(&mut self, call: &Call, draw: u64, now: Time) -> Result<Ticket, Refusal> {
         if !self.configured() {
             return Err(Refusal::NotConfigured);
@@ -248,14 +252,14 @@
         })
     }
 
-    /// Gives back what a request was charged that did not run.
+    /// Refunds the charge of a request that did not run.
     pub fn refund(&mut self, ticket: &Ticket) {
         if let Some(workspace) = &ticket.workspace {
             self.quotas.give_back(workspace, ticket.charge);
         }
     }
 
-    /// Whether `peer` knows something of the store that this instance doesn't.
+    /// Whether `peer` has store data that this instance lacks.
     #[must_use]
     pub fn is_behind(&self, peer: &Peer) -> bool {
         let other_targets = peer.targets > self.registry.revision()
@@ -267,19 +271,19 @@
         newer_config || other_targets || newer_versions || other_verdicts
     }
 
-    /// Takes one repeat out of the service's budget; false if there is none left.
+    /// Takes one retry out of the service's budget. Returns false if the budget is used up.
     pub fn take_retry(&mut self, service: &ServiceId, now: Time) -> bool {
         let sharing = self.peers.sharing_count(now);
         self.retries.take(service, self.budget, sharing, now)
     }
 
-    /// Requests of this instance at a target.
+    /// Returns the number of requests of this instance at a target.
     #[must_use]
     pub fn local_in_flight(&self, target: &TargetId) -> u32 {
         self.in_flight.get(target).copied().unwrap_or(0)
     }
 
-    /// What this instance has at each target.
+    /// Returns the load of this instance at each target.
     pub fn local_loads(&self) -> impl Iterator<Item = (&TargetId, Load)> {
         self.in_flight.iter().map(|(target, requests)| {
             let load = Load {
@@ -290,19 +294,19 @@
         })
     }
 
-    /// A request goes to an engine; it waits there until it begins.
+    /// Records a prompt that is sent to an engine and waits there until the engine starts it.
     pub fn record_prompt(&mut self, target: &TargetId, call: &Call, now: Time) -> WaitingKey {
         let others = self.peers.load(ShortHash::of(target.as_str())).prompts;
         self.queues
             .sent(target, call.prompt.0, u64::from(others), now)
     }
 
-    /// A request goes to a target.
+    /// Records that a request is sent to a target.
     pub fn start_request(&mut self, target: &TargetId) {
         *self.in_flight.entry(target.clone()).or_default() += 1;
     }
 
-    /// A request has left a target.
+    /// Records that a request at a target has ended.
     pub fn end_request(&mut self, target: &TargetId) {
         if let Some(count) = self.in_flight.get_mut(target) {
             *count -= 1;
@@ -312,12 +316,12 @@
         }
     }
 
-    /// A suspected request goes to a target.
+    /// Records that a suspected request is sent to a target.
     pub fn start_suspect(&mut self, target: &TargetId) {
         *self.suspects_at.entry(target.clone()).or_default() += 1;
     }
 
-    /// A suspected request has left a target.
+    /// Records that a suspected request at a target has ended.
     pub fn end_suspect(&mut self, target: &TargetId) {
         if let Some(count) = self.suspects_at.get_mut(target) {
             *count -= 1;
@@ -327,7 +331,7 @@
         }
     }
 
-    /// Housekeeping; called a few times a second.
+    /// Removes outdated state. Called a few times a second.
     pub fn sweep(&mut self, now: Time) {
         self.registry.sweep(now);
         self.peers.sweep(now);
@@ -344,7 +348,7 @@
         self.queues.keep(|target| registry.get(target).is_some());
     }
 
-    /// Whether requests of this kind need an adapter loaded before they can run.
+    /// Returns the adapter that the request needs, if it needs one.
     #[must_use]
     pub fn adapter_of(call: &Call) -> Option<&super::adapter::AdapterKey> {
         match &call.wanted {
@@ -354,7 +358,7 @@
     }
 }
 
-/// The loader shard that an engine belongs to; never changes.
+/// Returns the loader shard of an engine, which never changes.
 #[must_use]
 pub fn shard_of(target: &TargetId) -> u8 {
     u8::try_from(name_hash(target.as_str()) % u64::from(SHARDS)).unwrap_or(0)
--- a/crates/gateway/src/decide/versions.rs
+++ b/crates/gateway/src/decide/versions.rs
@@ -8,19 +8,21 @@
 
 use super::adapter::{AdapterAt, AdapterKey};
 
-/// How long an older version may still begin requests after a newer one was announced.
+/// Time for which requests may still start on an older version after a newer one was announced.
 ///
-/// Callers are promised the new one within 5 s of its announcement; the announcement may take a
-/// second to arrive here, and a request a second to begin.
+/// Callers are promised the new version within 5 s of its announcement. The announcement may take a
+/// second to arrive here, and a request a second to start.
 const OLD_VERSION_GRACE: Duration = Duration::from_millis(2_500);
-/// Age of an announcement at which a request that an engine has not begun on an older version is
-/// taken back.
+/// Age of an announcement at which a request on an older version is withdrawn if the engine has not
+/// started it.
 ///
-/// It waits there behind others' prompts and may begin when the promised 5 s are over. The rest of them
-/// is for the announcement's way here and for the engine to see the connection closed.
+/// The request waits behind the prompts of others and might start after the promised 5 s. The rest
+/// of the 5 s is for the announcement to arrive here and for the engine to notice that the
+/// connection was closed.
 const WITHDRAWAL_THRESHOLD: Duration = Duration::from_millis(3_800);
 
-/// Age from which an announcement is as good as made long ago; stands for an unknown age, too.
+/// Maximum age of an announcement. Older announcements have no further effect, and the value also
+/// stands for an unknown age.
 pub const MAX_ANNOUNCEMENT_AGE: Duration = WITHDRAWAL_THRESHOLD;
 
 /// An announced version with its age, for peers.
@@ -28,7 +30,7 @@
 pub struct Announcement {
     /// The adapter and its version.
     pub adapter: AdapterAt,
-    /// Time since it was announced; [`MAX_ANNOUNCEMENT_AGE`] at most.
+    /// Time since the announcement, at most [`MAX_ANNOUNCEMENT_AGE`].
     pub age: Duration,
 }
 
@@ -36,14 +38,14 @@
 #[derive(Debug, Default)]
 pub struct Versions {
     /// Announced versions of each adapter, the newest last. Earlier ones are kept while their age
-    /// matters to what they replaced.
+    /// matters to the versions that they replaced.
     announced: HashMap<AdapterKey, Vec<Announced>>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Announced {
     version: AdapterVersion,
-    /// When requests that an engine has not begun on an older version are taken back.
+    /// When requests on an older version are withdrawn if the engine has not started them.
     withdraw_at: Time,
 }
 
@@ -54,38 +56,38 @@
 }
 
 impl Versions {
-    /// Takes in an announcement made `age` ago; false if a newer version is known.
-    pub fn announce(&mut self, news: &AdapterAt, age: Duration, now: Time) -> bool {
-        let known = self.announced.entry(news.key.clone()).or_default();
+    /// Records an announcement made `age` ago. Returns false if a newer version is known.
+    pub fn announce(&mut self, adapter: &AdapterAt, age: Duration, now: Time) -> bool {
+        let known = self.announced.entry(adapter.key.clone()).or_default();
         let newest = known.last().map(|last| last.version);
-        if known.iter().any(|known| known.version == news.version) {
+        if known.iter().any(|known| known.version == adapter.version) {
             return false;
         }
         known.push(Announced {
-            version: news.version,
+            version: adapter.version,
             withdraw_at: now + WITHDRAWAL_THRESHOLD.saturating_sub(age),
         });
         known.sort_by_key(|known| known.version);
         prune(known, now);
-        newest.is_none_or(|newest| news.version > newest)
+        newest.is_none_or(|newest| adapter.version > newest)
     }
 
-    /// The newest version; none if the adapter has only its first.
+    /// Returns the newest version, or `None` if the adapter has only its first.
     #[must_use]
     pub fn newest(&self, key: &AdapterKey) -> Option<AdapterVersion> {
         let last = self.announced.get(key)?.last()?;
         Some(last.version)
     }
 
-    /// Sum of all newest versions: the higher of two instances knows something that the other
-    /// doesn't.
+    /// Sum of all newest versions. Of two instances, the one with the higher sum knows an
+    /// announcement that the other lacks.
     #[must_use]
     pub fn total(&self) -> u64 {
         let newest = self.announced.values().filter_map(|known| known.last());
         newest.map(|newest| newest.version.0).sum()
     }
 
-    /// All announcements that are known, with their ages.
+    /// All known announcements with their ages.
     pub fn all(&self, now: Time) -> impl Iterator<Item = Announcement> {
         self.announced.iter().flat_map(move |(key, known)| {
             known.iter().map(move |known| Announcement {
@@ -98,13 +100,13 @@
         })
     }
 
-    /// Whether a copy at `version` is the newest.
+    /// Whether `version` is the newest.
     #[must_use]
     pub fn is_newest(&self, key: &AdapterKey, version: AdapterVersion) -> bool {
         self.newest(key).is_none_or(|newest| version >= newest)
     }
 
-    /// Whether a request may be sent to `version` on an engine that begins it within `wait`.
+    /// Whether a request may be sent to `version` on an engine that starts it within `wait`.
     #[must_use]
     pub fn may_start(
         &self,
@@ -118,9 +120,11 @@
         by.is_none_or(|by| now + wait + margin < by)
     }
 
-    /// When a request on `version` must have begun; none while that is the newest.
+    /// Returns the time by which a request on `version` must have started, or `None` if that is the
+    /// newest.
     ///
-    /// The first version that replaced it counts: a later announcement gives it no new grace.
+    /// The first version that replaced it counts; a later announcement does not extend the grace
+    /// period.
     #[must_use]
     pub fn start_deadline(&self, key: &AdapterKey, version: AdapterVersion) -> Option<Time> {
         let known = self.announced.get(key)?.iter();
@@ -129,8 +133,9 @@
     }
 }
 
-/// Drops announcements before one whose grace is over: what it replaced is out of date anyway.
+/// Removes announcements before the last one whose grace period is over, because what they replaced
+/// is outdated anyway.
 fn prune(known: &mut Vec<Announced>, now: Time) {
-    let over = known.iter().rposition(|known| known.withdraw_at <= now);
-    known.drain(..over.unwrap_or(0));
+    let last_over = known.iter().rposition(|known| known.withdraw_at <= now);
+    known.drain(..last_over.unwrap_or(0));
 }
