--- a/crates/gateway/src/decide/peers.rs
+++ b/crates/gateway/src/decide/peers.rs
@@ -325,7 +325,7 @@
     /// may not have seen all registered peers yet; those that it has not seen are assumed to spend,
     /// too.
     #[must_use]
-    pub fn silent_fraction(&self, new: bool, now: Time) -> f64 {
+    pub fn down_fraction(&self, new: bool, now: Time) -> f64 {
         let undiscovered = self
             .known
             .values()
--- a/crates/gateway/src/decide/store_access.rs
+++ b/crates/gateway/src/decide/store_access.rs
@@ -75,7 +75,7 @@
     #[must_use]
     pub fn unknown_spending_fraction(&self, now: Time) -> f64 {
         let is_new = self.is_new(now);
-        let down = self.peers.silent_fraction(is_new, now);
+        let down = self.peers.down_fraction(is_new, now);
         if !is_new || !self.is_relayed(now) || self.peers.view().is_some() {
             return down;
         }
--- a/crates/gateway/src/decide/tables.rs
+++ b/crates/gateway/src/decide/tables.rs
@@ -265,10 +265,10 @@
         let other_targets = peer.targets > self.registry.revision()
             && peer.targets_digest != self.registry.digest();
         let newer_config = peer.config > self.routes.version();
-        let other_verdicts =
+        let other_decisions =
             peer.quarantine_digest != 0 && peer.quarantine_digest != self.quarantine.digest();
         let newer_versions = peer.versions > self.versions.total();
-        newer_config || other_targets || newer_versions || other_verdicts
+        newer_config || other_targets || newer_versions || other_decisions
     }
 
     /// Takes one retry out of the service's budget. Returns false if the budget is used up.
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Tests of the news that instances tell each other, in virtual time.
+//! Tests of the exchange of state between instances, in virtual time.
 
 mod support;
 
@@ -7,25 +7,25 @@
 use support::fleet::{Fleet, Network};
 use support::quota;
 
-/// Fleets by instances and failure domains, from the smallest on the sheets to the size to design for.
+/// Numbers of instances and failure domains, from the smallest supported fleet to the design size.
 const FLEETS: [(usize, usize); 5] = [(6, 3), (17, 3), (75, 3), (195, 5), (380, 18)];
-/// Time in which a fleet that starts at once has settled.
-const SETTLED_MS: u64 = 3_000;
+/// Time in which a fleet that starts at once has converged.
+const CONVERGED_MS: u64 = 3_000;
 /// Time within which 99 of 100 instances must know of a request.
-const KNOWN_WITHIN_MS: u64 = 300;
-/// The same in a fleet that tells everyone directly.
-const KNOWN_DIRECTLY_WITHIN_MS: u64 = 150;
+const KNOWN_TIMEOUT_MS: u64 = 300;
+/// The same for a fleet in which each instance sends its status to all others.
+const KNOWN_DIRECTLY_TIMEOUT_MS: u64 = 150;
 
-fn settled(count: usize, domains: usize, seed: u64) -> Fleet {
+fn converged_fleet(count: usize, domains: usize, seed: u64) -> Fleet {
     let mut fleet = Fleet::start(count, domains, seed);
-    fleet.run_ms(SETTLED_MS);
+    fleet.run_ms(CONVERGED_MS);
     fleet
 }
 
 #[test]
-fn everyone_knows_what_all_others_have_at_each_target() {
+fn every_instance_knows_the_load_of_all_others() {
     for (count, domains) in FLEETS {
-        let mut fleet = settled(count, domains, 1);
+        let mut fleet = converged_fleet(count, domains, 1);
         fleet.add_random_requests(count * 2);
         fleet.run_ms(1_000);
         assert_eq!(fleet.first_error(), None, "{count} instances");
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn news_cross_a_network_that_loses_doubles_and_reorders() {
+fn updates_arrive_over_a_network_that_drops_duplicates_and_reorders() {
     for (count, domains) in FLEETS {
-        let mut fleet = settled(count, domains, 2);
+        let mut fleet = converged_fleet(count, domains, 2);
         fleet.network = Network::UNRELIABLE;
         fleet.add_random_requests(count * 2);
         fleet.run_ms(2_500);
@@ -48,7 +48,7 @@
 #[test]
 fn each_failure_domain_of_a_large_fleet_has_two_relays() {
     for (count, domains) in FLEETS {
-        let fleet = settled(count, domains, 3);
+        let fleet = converged_fleet(count, domains, 3);
         let relays = fleet.relays();
         let expected = if count > MAX_DIRECT_FLEET {
             domains * 2
@@ -59,28 +59,33 @@
     }
 }
 
-/// Guards against instances that take the fleet for small beside others that take it for large, as registrations
-/// of some that are long gone stand.
+/// Guards against wrong loads when instances disagree on whether the fleet is large enough for
+/// relays. Some instances count registrations of peers that are long gone.
 #[test]
-fn a_fleet_that_is_large_to_some_of_it_knows_all() {
-    for misled in [1, 5, 12] {
+fn instances_that_disagree_on_the_size_of_the_fleet_know_all_loads() {
+    for misled_instances in [1, 5, 12] {
         let mut fleet = Fleet::start(12, 3, 16);
-        (0..misled).for_each(|idx| fleet.add_stale_registrations(idx, 10));
-        fleet.run_ms(SETTLED_MS);
+        (0..misled_instances).for_each(|idx| fleet.add_stale_registrations(idx, 10));
+        fleet.run_ms(CONVERGED_MS);
         fleet.add_random_requests(30);
         fleet.run_ms(1_000);
-        assert_eq!(fleet.first_error(), None, "large to {misled}");
+        assert_eq!(
+            fleet.first_error(),
+            None,
+            "considered large by {misled_instances}"
+        );
     }
 }
 
-/// Time until 99 of 100 instances know of a request, in milliseconds; the longest of many.
-fn known_after(count: usize, domains: usize) -> u64 {
-    let mut fleet = settled(count, domains, 4);
-    let mut longest = 0;
+/// Returns the time in milliseconds until 99 of 100 instances know of a request; the maximum of
+/// several runs.
+fn max_time_to_known(count: usize, domains: usize) -> u64 {
+    let mut fleet = converged_fleet(count, domains, 4);
+    let mut max_time = 0;
     for round in 0..20 {
         let idx = fleet.random_below(count);
         fleet.change_load(idx, 0, true);
-        let mut passed = 0;
+        let mut elapsed = 0;
         loop {
             let unaware = (0..count).filter(|other| {
                 let (real, believed) = fleet.others_load(*other, 0);
@@ -90,32 +95,32 @@
                 break;
             }
             fleet.run_ms(5);
-            passed += 5;
-            assert!(passed < 5_000, "request {round} isn't known");
+            elapsed += 5;
+            assert!(elapsed < 5_000, "request {round} isn't known");
         }
-        longest = longest.max(passed);
+        max_time = max_time.max(elapsed);
         fleet.run_ms(200 + u64::try_from(round).unwrap() * 7);
     }
-    longest
+    max_time
 }
 
 #[test]
 fn a_request_is_known_in_time_in_a_large_fleet() {
-    let after = known_after(195, 5);
-    assert!(after <= KNOWN_WITHIN_MS, "{after} ms");
+    let after = max_time_to_known(195, 5);
+    assert!(after <= KNOWN_TIMEOUT_MS, "{after} ms");
 }
 
 #[test]
 fn a_request_is_known_sooner_in_a_small_fleet() {
-    let after = known_after(8, 3);
-    assert!(after <= KNOWN_DIRECTLY_WITHIN_MS, "{after} ms");
+    let after = max_time_to_known(8, 3);
+    assert!(after <= KNOWN_DIRECTLY_TIMEOUT_MS, "{after} ms");
 }
 
-/// Guards against news that stop, or count the dead, when relays die.
+/// Guards against updates that stop, or that count failed instances, when relays fail.
 #[test]
-fn relays_that_die_are_replaced_and_nothing_is_lost_from_the_sums() {
+fn failed_relays_are_replaced_and_the_sums_stay_correct() {
     for (count, domains) in [(40, 3), (195, 5)] {
-        let mut fleet = settled(count, domains, 5);
+        let mut fleet = converged_fleet(count, domains, 5);
         fleet.add_random_requests(count * 2);
         fleet.run_ms(500);
         for idx in fleet.relays() {
@@ -127,26 +132,27 @@
     }
 }
 
-/// Guards against one relay's death: the other one serves all, well before anyone counts as down.
+/// Guards against a gap after the failure of one relay. The other one must serve all subscribers
+/// well before any instance counts as down.
 #[test]
-fn those_that_asked_a_dead_relay_hear_from_the_other_one_in_time() {
-    let mut fleet = settled(75, 3, 6);
+fn subscribers_of_a_failed_relay_switch_to_the_other_one_in_time() {
+    let mut fleet = converged_fleet(75, 3, 6);
     let [first, ..] = fleet.relays()[..] else {
         panic!("no relay");
     };
     fleet.kill(first);
     for _ in 0..40 {
         fleet.run_ms(50);
-        let least = (0..75).filter(|idx| fleet.is_running(*idx));
-        let least = least.map(|idx| fleet.live_peers(idx)).min().unwrap();
-        assert!(least >= 73, "{least} live peers");
+        let min_live = (0..75).filter(|idx| fleet.is_running(*idx));
+        let min_live = min_live.map(|idx| fleet.live_peers(idx)).min().unwrap();
+        assert!(min_live >= 73, "{min_live} live peers");
     }
 }
 
-/// Guards against the old sums of a relay that was suspended.
+/// Guards against stale sums from a relay that was suspended.
 #[test]
-fn a_thawed_relay_does_no_harm() {
-    let mut fleet = settled(75, 3, 7);
+fn a_resumed_relay_does_not_send_stale_sums() {
+    let mut fleet = converged_fleet(75, 3, 7);
     fleet.add_random_requests(100);
     fleet.run_ms(500);
     let [first, ..] = fleet.relays()[..] else {
@@ -156,9 +162,10 @@
     fleet.run_ms(3_000);
     fleet.add_random_requests(50);
     fleet.run_ms(1_000);
-    assert_eq!(fleet.first_error(), None, "while it is frozen");
+    assert_eq!(fleet.first_error(), None, "while it is suspended");
     fleet.resume(first);
-    // It looks for a relay first; what it has itself is news to the others then.
+    // The resumed relay selects an upstream relay first; until then the others do not know its
+    // load.
     fleet.run_ms(800);
     for _ in 0..20 {
         assert_eq!(fleet.first_error(), None);
@@ -166,11 +173,11 @@
     }
 }
 
-/// Guards against a relay that is heard by those whom it doesn't hear, or the other way round.
+/// Guards against relays that can send to each other in one direction only.
 #[test]
-fn a_domain_cut_one_way_or_both_ways_goes_on_and_comes_back() {
+fn a_failure_domain_recovers_from_a_partition_in_one_or_both_directions() {
     for both in [false, true] {
-        let mut fleet = settled(60, 3, 8);
+        let mut fleet = converged_fleet(60, 3, 8);
         fleet.add_random_requests(100);
         fleet.run_ms(500);
         let mut cuts = vec![(0, 1), (0, 2)];
@@ -180,11 +187,11 @@
         fleet.partitions = cuts;
         fleet.run_ms(4_000);
         for idx in 0..60 {
-            let near = fleet.tables(idx).peers.live(fleet.now);
+            let live_in_domain = fleet.tables(idx).peers.live(fleet.now);
             let own = &fleet.tables(idx).local.failure_domain;
-            let near = near.filter(|peer| peer.member.failure_domain == *own);
+            let live_in_domain = live_in_domain.filter(|peer| peer.member.failure_domain == *own);
             assert_eq!(
-                near.count(),
+                live_in_domain.count(),
                 19,
                 "i{idx} in its own domain, both ways: {both}"
             );
@@ -192,7 +199,7 @@
         assert_eq!(
             fleet.live_peers(1),
             39,
-            "the cut domain is down, both ways: {both}"
+            "the partitioned domain is down, both ways: {both}"
         );
         fleet.partitions.clear();
         fleet.run_ms(2_000);
@@ -200,17 +207,17 @@
     }
 }
 
-/// Guards against lives that ended, and addresses that changed, after restarts.
+/// Guards against old incarnations and old addresses after restarts.
 #[test]
-fn a_fleet_that_restarts_at_once_settles_again() {
+fn a_fleet_that_restarts_at_once_converges_again() {
     for moved in [false, true] {
-        let mut fleet = settled(60, 3, 9);
+        let mut fleet = converged_fleet(60, 3, 9);
         fleet.add_random_requests(100);
         fleet.run_ms(500);
         for idx in 0..60 {
             fleet.restart(idx, moved);
         }
-        fleet.run_ms(SETTLED_MS);
+        fleet.run_ms(CONVERGED_MS);
         fleet.add_random_requests(100);
         fleet.run_ms(1_000);
         assert_eq!(fleet.first_error(), None, "moved: {moved}");
@@ -218,11 +225,11 @@
     }
 }
 
-/// Guards against spending that is counted twice, or lost, as it comes through relays that change.
+/// Guards against spending that is counted twice or lost while the relays change.
 #[test]
 fn spending_is_counted_once_while_relays_change() {
     for (count, domains) in [(8, 3), (60, 3)] {
-        let mut fleet = settled(count, domains, 10);
+        let mut fleet = converged_fleet(count, domains, 10);
         for idx in 0..count {
             fleet.spend(idx, 1);
         }
@@ -239,7 +246,7 @@
                 fleet.spend(idx, 1_000);
                 spent += 1_000;
             }
-            // Long enough for nothing to be taken to go on.
+            // Longer than the time for which spending is assumed to continue.
             fleet.run_ms(6_000);
             if let Some(relay) = fleet.relays().first().copied()
                 && round < 2
@@ -256,11 +263,11 @@
     }
 }
 
-/// Guards against a hot workspace beyond its quota while relays die one after the other: what is not
-/// heard is taken to go on.
+/// Guards against a busy workspace that exceeds its quota while relays fail one after the other.
+/// Spending that is not received is assumed to continue.
 #[test]
-fn spending_that_nobody_told_is_taken_to_go_on() {
-    let mut fleet = settled(60, 3, 11);
+fn unreported_spending_is_assumed_to_continue() {
+    let mut fleet = converged_fleet(60, 3, 11);
     for idx in 0..60 {
         fleet.spend(idx, 1);
     }
@@ -292,26 +299,27 @@
 const RATE: u64 = 250_000;
 const BURST: u64 = 500_000;
 const DRAFT: u64 = 1_300;
-/// Tokens that are allowed beyond a tenth more than the quota.
+/// Tokens that are allowed above 110 % of the quota.
 const SLACK: u64 = 17_000;
 
-/// Drafts of a workspace through a fleet, with the step of each that ran; `times` tenths of its rate.
+/// Sends drafts of a workspace to random instances at `times` tenths of its rate, and records the
+/// step of each admitted one.
 fn send_drafts(fleet: &mut Fleet, times: u64, step: u64, runs: &mut Vec<u64>) {
-    let drafts = RATE * times / 10 / STEPS_A_SECOND / DRAFT + 1;
+    let drafts = RATE * times / 10 / STEPS_PER_SECOND / DRAFT + 1;
     for _ in 0..drafts {
         let idx = fleet.random_below(fleet.len());
         if fleet.is_running(idx) && fleet.charge(idx, quota(RATE, BURST), DRAFT) {
             runs.push(step);
         }
     }
-    fleet.run_ms(1_000 / STEPS_A_SECOND);
+    fleet.run_ms(1_000 / STEPS_PER_SECOND);
 }
 
-const STEPS_A_SECOND: u64 = 100;
+const STEPS_PER_SECOND: u64 = 100;
 
-/// Most tokens that ran in any eight seconds.
-fn most_in_a_window(runs: &[u64]) -> u64 {
-    let window = 8 * STEPS_A_SECOND;
+/// Maximum number of admitted tokens in any eight seconds.
+fn max_in_window(runs: &[u64]) -> u64 {
+    let window = 8 * STEPS_PER_SECOND;
     let most = runs.iter().enumerate().map(|(idx, from)| {
         let within = runs[idx..].iter().take_while(|at| **at < from + window);
         u64::try_from(within.count()).unwrap() * DRAFT
@@ -320,20 +328,20 @@
 }
 
 fn assert_within_quota(runs: &[u64]) {
-    let most = most_in_a_window(runs);
+    let most = max_in_window(runs);
     let allowed = (RATE * 8 + BURST) * 11 / 10 + SLACK;
     assert!(most <= allowed, "{most} of {allowed}");
     assert!(most >= RATE * 8 * 9 / 10, "{most}");
 }
 
-/// Guards against a workspace that runs beyond its quota when it grows hot at once in a large fleet, while
-/// relays die: instances let it in that have not heard of each other yet.
+/// Guards against a workspace that exceeds its quota when its load rises suddenly in a large fleet,
+/// while relays fail: instances admit its requests before they know of each other's.
 #[test]
-fn a_workspace_that_grows_hot_at_once_stays_within_its_quota() {
+fn a_sudden_surge_of_a_workspace_stays_within_its_quota() {
     let mut fleet = Fleet::with_quota(195, 5, 14, quota(RATE, BURST));
-    fleet.run_ms(SETTLED_MS);
+    fleet.run_ms(CONVERGED_MS);
     let mut runs = Vec::new();
-    for step in 0..12 * STEPS_A_SECOND {
+    for step in 0..12 * STEPS_PER_SECOND {
         let times = if step < 300 { 1 } else { 50 };
         send_drafts(&mut fleet, times, step, &mut runs);
         let relay = fleet.relays().first().copied();
@@ -344,38 +352,40 @@
     assert_within_quota(&runs);
 }
 
-/// Guards against a hot workspace that runs beyond its quota after all instances were killed: each began with a
-/// part of the burst, and with the whole rate until it heard the others.
+/// Guards against a busy workspace that exceeds its quota after all instances were killed. Each of
+/// them restarted with a part of the burst, and with the full rate until it had received statuses
+/// of the others.
 #[test]
-fn a_hot_workspace_stays_within_its_quota_while_all_restart() {
+fn a_busy_workspace_stays_within_its_quota_while_all_instances_restart() {
     let mut fleet = Fleet::with_quota(120, 3, 15, quota(RATE, BURST));
-    fleet.run_ms(SETTLED_MS);
+    fleet.run_ms(CONVERGED_MS);
     let mut runs = Vec::new();
-    for step in 0..12 * STEPS_A_SECOND {
+    for step in 0..12 * STEPS_PER_SECOND {
         send_drafts(&mut fleet, 50, step, &mut runs);
-        if step == 5 * STEPS_A_SECOND {
+        if step == 5 * STEPS_PER_SECOND {
             for idx in 0..fleet.len() {
                 fleet.restart(idx, false);
             }
-            // The first rounds after a start find nobody who listens yet.
+            // The messages of the first rounds after a start are lost, because no instance receives
+            // them yet.
             fleet.network.loss = 1.0;
         }
-        if step == 5 * STEPS_A_SECOND + 60 {
+        if step == 5 * STEPS_PER_SECOND + 60 {
             fleet.network = Network::RELIABLE;
         }
     }
     assert_within_quota(&runs);
 }
 
-/// Guards against datagrams that are spoilt, of another release, or from somebody unknown.
+/// Guards against datagrams that are corrupt, from another release, or from an unknown sender.
 #[test]
-fn datagrams_that_cannot_be_are_not_believed() {
-    let mut fleet = settled(20, 3, 12);
+fn invalid_datagrams_are_ignored() {
+    let mut fleet = converged_fleet(20, 3, 12);
     fleet.add_random_requests(40);
     fleet.run_ms(500);
-    let stranger = "10.9.9.9:1".parse().unwrap();
-    let friend = fleet.tables(1).local.gossip;
-    let mut other = settled(20, 3, 13);
+    let unknown_sender = "10.9.9.9:1".parse().unwrap();
+    let known_sender = fleet.tables(1).local.gossip;
+    let mut other = converged_fleet(20, 3, 13);
     other.add_random_requests(40);
     other.run_ms(105);
     let relay = other.relays()[0];
@@ -383,15 +393,15 @@
     let tellings = other.tables_mut(relay).exchange_round(now);
     for telling in tellings {
         let buf = Packet::Exchange(telling.message).encode().unwrap();
-        fleet.inject(0, stranger, &buf);
+        fleet.inject(0, unknown_sender, &buf);
         for cut in 0..buf.len() {
-            fleet.inject(0, friend, &buf[..cut]);
+            fleet.inject(0, known_sender, &buf[..cut]);
         }
         for first in 0..=255 {
             let mut other = buf.clone();
             other[0] = first;
             if first != buf[0] {
-                fleet.inject(0, friend, &other);
+                fleet.inject(0, known_sender, &other);
             }
         }
     }
@@ -399,9 +409,10 @@
     assert_eq!(fleet.first_error(), None);
 }
 
-/// Random troubles on small relayed fleets; everyone knows everything again 4 s after the last of them.
-fn random_troubles(seed: u64) {
-    let mut fleet = settled(20 + usize::try_from(seed % 20).unwrap(), 3, seed);
+/// Injects random faults into a small fleet with relays. All instances must know the state of all
+/// others 4 s after the last fault.
+fn run_random_faults(seed: u64) {
+    let mut fleet = converged_fleet(20 + usize::try_from(seed % 20).unwrap(), 3, seed);
     let count = fleet.len();
     fleet.network = Network::UNRELIABLE;
     for _ in 0..8 {
@@ -430,10 +441,10 @@
 }
 
 #[test]
-fn a_fleet_settles_after_random_troubles() {
+fn a_fleet_converges_after_random_faults() {
     let seeds = std::env::var("BLUEBELLSTAGE_SEEDS").ok();
     let seeds = seeds.and_then(|seeds| seeds.parse::<u64>().ok());
     for seed in 0..seeds.unwrap_or(12) {
-        random_troubles(seed);
+        run_random_faults(seed);
     }
 }
--- a/crates/gateway/tests/following.rs
+++ b/crates/gateway/tests/following.rs
@@ -1,4 +1,4 @@
-//! Tests of who follows the store, and of what the others take from those who do.
+//! Tests of the selection of followers of the store, and of copies from them.
 
 mod support;
 
@@ -17,9 +17,9 @@
         .collect()
 }
 
-/// An old version of an adapter goes on being used, more than five seconds after the new one was
-/// announced: the instance doesn't follow the store itself and took only configurations and targets
-/// from those who do.
+/// Guards against requests on an adapter's old version more than five seconds after the new one was
+/// announced. It happened because instances that do not follow the store copied only the
+/// configuration and the targets from followers.
 #[test]
 fn an_instance_is_behind_a_peer_that_knows_a_newer_adapter_version() {
     let mut tables = tables();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn heartbeats_of_targets_alone_put_nobody_behind() {
+fn heartbeats_of_targets_do_not_put_an_instance_behind() {
     let mut tables = tables();
     tables
         .registry
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn three_of_a_fleet_follow_the_store() {
+fn three_instances_of_a_fleet_follow_the_store() {
     let names = (0..8).map(|idx| format!("i{idx}")).collect::<Vec<_>>();
     let follows = |me: &str| {
         let mut tables = tables();
@@ -82,10 +82,11 @@
     assert_eq!(followers, 3);
 }
 
-/// Hundreds of orders to engines ran out of time: holders were drawn regardless of their machines,
-/// most of which had an eighth of a core, beside some of half a core.
+/// Guards against holders of leases on small machines. Holders were selected regardless of
+/// capacity; most machines had an eighth of a core, a few had half a core, and hundreds of orders
+/// to engines timed out.
 #[test]
-fn the_strongest_machines_come_first() {
+fn machines_with_the_most_capacity_follow_first() {
     let mut tables = tables();
     for mut peer in fleet(8) {
         peer.member.strength = Strength(12);
@@ -97,9 +98,10 @@
     assert!(!tables.follows_store(at(1)));
 }
 
-/// All three followers are cut off from the store: the others must not go on with what they had.
+/// Guards against a fleet that continues with old data when all three followers have lost the
+/// store.
 #[test]
-fn others_follow_when_the_store_does_not_answer_the_followers() {
+fn others_follow_when_the_store_does_not_respond_to_the_followers() {
     let mut tables = tables();
     for mut peer in fleet(8) {
         peer.store_reachable = false;
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn an_instance_without_a_configuration_follows_by_itself() {
+fn an_instance_without_a_configuration_follows_the_store() {
     let mut tables = tables();
     for peer in fleet(8) {
         tables.peers.update(peer);
@@ -118,8 +120,9 @@
     assert!(tables.follows_store(at(1)));
 }
 
-/// A fleet that starts at once: all are registered, nobody is heard, nobody has a configuration.
-fn starting(me: &str, count: usize) -> Tables {
+/// State of an instance in a fleet that starts at once: all are registered, none has been seen, and
+/// none has a configuration.
+fn starting_instance(me: &str, count: usize) -> Tables {
     let mut tables = tables();
     tables.local = support::member(me, "north");
     tables.routes = std::sync::Arc::default();
@@ -135,26 +138,27 @@
 
 /// Guards against thousands of calls to the store whenever hundreds of instances start at once.
 #[test]
-fn eight_of_a_large_fleet_that_starts_at_once_ask_the_store() {
-    let askers = (0..200).filter(|idx| starting(&format!("i{idx}"), 200).follows_store(at(1)));
-    assert_eq!(askers.count(), 8);
+fn eight_instances_of_a_large_fleet_that_starts_at_once_read_the_store() {
+    let store_readers =
+        (0..200).filter(|idx| starting_instance(&format!("i{idx}"), 200).follows_store(at(1)));
+    assert_eq!(store_readers.count(), 8);
 }
 
 #[test]
-fn an_instance_that_starts_beside_others_asks_when_nobody_gave_it_a_copy() {
+fn a_starting_instance_reads_the_store_when_it_gets_no_copy() {
     let last = (0..200).map(|idx| format!("i{idx}"));
     let last = last.min_by_key(|name| {
-        let tables = starting(name, 200);
+        let tables = starting_instance(name, 200);
         (tables.follows_store(at(1)), name.clone())
     });
-    let tables = starting(&last.unwrap(), 200);
+    let tables = starting_instance(&last.unwrap(), 200);
     assert!(!tables.follows_store(at(1_000)));
     assert!(tables.follows_store(at(2_000)));
 }
 
-/// Guards against a follower that asks without end for changes which the store has dropped.
+/// Guards against a follower that requests changes forever that the store has already dropped.
 #[test]
-fn what_a_peer_told_does_not_stand_in_for_a_list_once_its_history_is_gone() {
+fn a_copy_does_not_replace_a_list_once_its_history_is_gone() {
     let mut follower = Follower::new(Kind::Targets, None);
     follower.record_copy(Revision(7));
     assert_eq!(follower.after(), Some(Revision(7)));
@@ -165,11 +169,11 @@
     assert_eq!(follower.after(), Some(Revision(9)));
 }
 
-/// Guards against a whole fleet that asks for a configuration which nobody has written yet.
+/// Guards against calls of the whole fleet for a configuration that does not exist yet.
 #[test]
-fn a_fleet_without_a_configuration_leaves_asking_to_a_few() {
+fn a_few_instances_read_the_store_while_there_is_no_configuration() {
     let asks = |idx: usize| {
-        let mut tables = starting(&format!("i{idx}"), 0);
+        let mut tables = starting_instance(&format!("i{idx}"), 0);
         for other in (0..100).filter(|other| *other != idx) {
             let mut other = peer(&format!("i{other}"), at(5_000));
             other.ready = false;
@@ -182,10 +186,10 @@
 }
 
 #[test]
-fn a_few_of_the_strongest_read_the_leases_when_a_fleet_starts() {
-    let reads = |idx: usize| starting(&format!("i{idx}"), 200).may_hold_leases();
-    let readers = (0..200).filter(|idx| reads(*idx)).count();
-    assert!((8..=32).contains(&readers), "{readers}");
+fn a_few_instances_read_the_leases_when_a_fleet_starts() {
+    let reads = |idx: usize| starting_instance(&format!("i{idx}"), 200).may_hold_leases();
+    let lease_readers = (0..200).filter(|idx| reads(*idx)).count();
+    assert!((8..=32).contains(&lease_readers), "{lease_readers}");
 }
 
 #[test]
@@ -196,10 +200,11 @@
     assert_eq!(tables.routes.version(), Revision(7));
 }
 
-/// A request reaches a server three seconds after it said that it leaves. The followers of the store
-/// had been suspended or cut off; none had met an error yet, so nobody followed in their place.
+/// Guards against a request that reaches a target three seconds after the target announced that it
+/// leaves. The followers of the store had been suspended or partitioned, but had not received an
+/// error yet, so no other instance followed in their place.
 #[test]
-fn a_follower_that_heard_nothing_lately_does_not_count() {
+fn a_follower_without_a_recent_response_does_not_count() {
     let mut tables = tables();
     tables.registry.set_following(true, at(0));
     tables.registry.record_store_response(at(1_000));
@@ -211,54 +216,56 @@
     assert!(tables.registry.is_store_reachable(at(60_000)));
 }
 
-/// A request reaches a server long after it was gone. An instance that had been cut off from the
-/// store kept the server for a while, with the newest revision, and the others copied it from there.
+/// Guards against requests to a target long after its removal. An instance that had lost the store
+/// kept the target for a while, with the newest revision, and the others copied it from there.
 #[test]
-fn a_target_that_is_gone_does_not_come_back_by_a_copy() {
-    let mut returned = tables();
+fn a_copy_does_not_bring_back_a_removed_target() {
+    let mut reconnected = tables();
     for name in ["c0", "c1"] {
-        returned
+        reconnected
             .registry
             .put(target(name, "court"), Revision(1), at(0));
     }
-    returned.registry.record_store_failure(at(0));
-    returned.registry.record_store_response(at(4_000));
-    let gone = target("c1", "court").id;
-    returned.registry.remove(&gone, Revision(9), at(4_001));
-    assert!(returned.registry.get(&gone).is_some());
+    reconnected.registry.record_store_failure(at(0));
+    reconnected.registry.record_store_response(at(4_000));
+    let removed = target("c1", "court").id;
+    reconnected
+        .registry
+        .remove(&removed, Revision(9), at(4_001));
+    assert!(reconnected.registry.get(&removed).is_some());
 
     let mut other = tables();
     other
         .registry
         .put(target("c0", "court"), Revision(5), at(0));
     other.registry.apply_copy(
-        returned.registry.copy_since(Revision(0), at(4_200)),
+        reconnected.registry.copy_since(Revision(0), at(4_200)),
         at(4_200),
     );
-    assert!(other.registry.get(&gone).is_none());
-    assert_eq!(other.registry.digest(), returned.registry.digest());
+    assert!(other.registry.get(&removed).is_none());
+    assert_eq!(other.registry.digest(), reconnected.registry.digest());
 }
 
 #[test]
-fn a_copy_leaves_targets_that_may_come_back_where_they_are_known() {
-    let mut returned = tables();
+fn a_copy_keeps_known_targets_during_their_grace_period() {
+    let mut reconnected = tables();
     let mut other = tables();
-    for tables in [&mut returned, &mut other] {
+    for tables in [&mut reconnected, &mut other] {
         tables
             .registry
             .put(target("c1", "court"), Revision(1), at(0));
     }
     let id = target("c1", "court").id;
-    returned.registry.record_store_failure(at(0));
-    returned.registry.record_store_response(at(4_000));
-    returned.registry.remove(&id, Revision(9), at(4_001));
+    reconnected.registry.record_store_failure(at(0));
+    reconnected.registry.record_store_response(at(4_000));
+    reconnected.registry.remove(&id, Revision(9), at(4_001));
     other.registry.apply_copy(
-        returned.registry.copy_since(Revision(0), at(4_200)),
+        reconnected.registry.copy_since(Revision(0), at(4_200)),
         at(4_200),
     );
     assert!(other.registry.get(&id).is_some());
-    // Both give it the same time, however often it is copied on.
-    for tables in [&mut returned, &mut other] {
+    // Both instances give it the same remaining time, however often it is copied.
+    for tables in [&mut reconnected, &mut other] {
         tables.registry.sweep(at(5_700));
         assert!(tables.registry.get(&id).is_some());
         tables.registry.sweep(at(5_801));
@@ -266,11 +273,11 @@
     }
 }
 
-/// A request reaches a server 2.2 s after its registration was removed. The instance had been cut
-/// off from the store and was back by then: it kept the server as one that may have lapsed while the
-/// store was away, though the store had told of the removal after its return.
+/// Guards against a request that reaches a target 2.2 s after its registration was removed. The
+/// instance had lost the store and was connected again. It kept the target as one that may have
+/// expired during the outage, although the store had reported the removal after its recovery.
 #[test]
-fn what_vanishes_after_the_return_has_left() {
+fn a_registration_that_vanishes_after_the_recovery_is_removed() {
     let mut tables = tables();
     tables
         .registry
@@ -283,10 +290,11 @@
     assert!(tables.registry.get(&id).is_none());
 }
 
-/// The store refuses every other call of an instance. A registration that vanishes meanwhile can't
-/// have lapsed for that: the store took the targets' reports all the time.
+/// Guards against keeping a removed target when the store rejects every other call of an instance.
+/// A registration that vanishes meanwhile can't have expired for that reason, because the store
+/// accepted the targets' reports all the time.
 #[test]
-fn what_vanishes_between_two_refusals_has_left() {
+fn a_registration_that_vanishes_between_two_rejected_calls_is_removed() {
     let mut tables = tables();
     tables
         .registry
@@ -299,7 +307,10 @@
     assert!(tables.registry.get(&id).is_none());
 }
 
-fn registry_of(names: &[&str], at_revision: u64) -> bluebellstage_gateway::decide::tables::Tables {
+fn tables_with_targets(
+    names: &[&str],
+    at_revision: u64,
+) -> bluebellstage_gateway::decide::tables::Tables {
     let mut tables = tables();
     let targets = names.iter().map(|name| target(name, "court"));
     let targets = targets.collect::<Vec<_>>();
@@ -308,17 +319,17 @@
     tables
 }
 
-/// A new configuration is in force five seconds late on a large fleet: the instances that follow the
-/// store give each other one the whole list of targets again for every target that comes or goes.
+/// Guards against a configuration that is in force five seconds late on a large fleet, because the
+/// followers sent each other the full list of targets for every target that joined or left.
 #[test]
-fn a_copy_holds_only_what_changed() {
-    let mut follower = registry_of(&["c0", "c1", "c2"], 10);
-    let mut other = registry_of(&["c0", "c1", "c2"], 10);
+fn a_copy_contains_only_changes() {
+    let mut follower = tables_with_targets(&["c0", "c1", "c2"], 10);
+    let mut other = tables_with_targets(&["c0", "c1", "c2"], 10);
     let mut leaving = target("c1", "court");
     leaving.leaving = true;
     follower.registry.put(leaving, Revision(11), at(1));
-    let gone = target("c2", "court").id;
-    follower.registry.remove(&gone, Revision(12), at(1));
+    let removed = target("c2", "court").id;
+    follower.registry.remove(&removed, Revision(12), at(1));
     follower
         .registry
         .put(target("c0", "court"), Revision(13), at(1));
@@ -333,12 +344,12 @@
     assert_eq!(other.registry.revision(), Revision(13));
 }
 
-/// What was removed before an instance took its list is not known there: whoever knows less gets
-/// the whole list, or it would send to targets that are gone.
+/// Guards against requests to removed targets. An instance does not know the removals from before
+/// it listed the targets, so peers with older state need a complete copy.
 #[test]
-fn whoever_knows_less_than_the_giver_remembers_gets_the_whole_list() {
-    let follower = registry_of(&["c0"], 20);
-    let mut other = registry_of(&["c0", "c1"], 10);
+fn a_peer_older_than_the_kept_removals_gets_a_complete_copy() {
+    let follower = tables_with_targets(&["c0"], 20);
+    let mut other = tables_with_targets(&["c0", "c1"], 10);
     let copy = follower
         .registry
         .copy_since(other.registry.copied_revision(), at(1));
@@ -347,11 +358,11 @@
     assert_eq!(other.registry.all().count(), 1);
 }
 
-/// An instance that begins to follow the store hears again what it knows from a copy; an old word
-/// must not undo a newer one.
+/// Guards against old changes that undo newer ones. An instance that starts to follow the store
+/// receives changes again that it has already copied.
 #[test]
-fn older_news_changes_nothing() {
-    let mut tables = registry_of(&["c0"], 10);
+fn older_changes_are_ignored() {
+    let mut tables = tables_with_targets(&["c0"], 10);
     let id = target("c0", "court").id;
     tables.registry.remove(&id, Revision(12), at(1));
     tables
@@ -365,11 +376,11 @@
     assert!(tables.registry.get(&id).is_some());
 }
 
-/// Two lists differ though all changes were copied: the next copy is a whole one.
+/// Guards against lists that stay different although all changes were copied.
 #[test]
-fn a_copy_that_does_not_lead_to_the_givers_list_is_made_whole() {
-    let mut follower = registry_of(&["c0", "c1"], 10);
-    let mut other = registry_of(&["c0"], 10);
+fn a_copy_that_leaves_a_difference_is_followed_by_a_complete_one() {
+    let mut follower = tables_with_targets(&["c0", "c1"], 10);
+    let mut other = tables_with_targets(&["c0"], 10);
     follower
         .registry
         .put(target("c2", "court"), Revision(11), at(1));
@@ -386,9 +397,10 @@
     assert_eq!(other.registry.copied_revision(), Revision(11));
 }
 
-/// What peers have at a target is summed as they tell it, and falls out with those that fall silent.
+/// Guards against stale load. The load of peers at a target is summed as their statuses arrive, and
+/// must be subtracted when they are down.
 #[test]
-fn requests_of_silent_peers_do_not_count() {
+fn the_load_of_peers_that_are_down_does_not_count() {
     let mut tables = tables();
     let hash = bluebellstage_gateway::decide::rendezvous::ShortHash::of("c0");
     for (name, count) in [("i1", 3), ("i2", 4), ("i1", 5)] {
--- a/crates/gateway/tests/quarantine_spread.rs
+++ b/crates/gateway/tests/quarantine_spread.rs
@@ -1,4 +1,4 @@
-//! How instances that no word of a verdict reached come to hold it.
+//! Tests that quarantine decisions reach instances that received no message about them.
 
 mod support;
 
@@ -8,51 +8,51 @@
 use bluebellstage_gateway::decide::quarantine::{AgedVerdict, Decision, Fingerprint, Verdict};
 use support::fleet::{Fleet, Network};
 
-/// Time in milliseconds after which everyone must hold a verdict, though no word reached it.
-const KNOWN_MS: u64 = 3_000;
+/// Time in milliseconds after which all instances must have a decision without a message about it.
+const KNOWN_TIMEOUT_MS: u64 = 3_000;
 
-fn verdict() -> Verdict {
+fn decision() -> Verdict {
     let workspace = WorkspaceId::try_from("north").unwrap();
     let request = Fingerprint::of(Some(&workspace), "/draft/1", b"bad");
     Verdict::next(request, Decision::Refused, None)
 }
 
-fn rule(fleet: &mut Fleet, idx: usize) {
+fn decide(fleet: &mut Fleet, idx: usize) {
     let now = fleet.now;
     let quarantine = &mut fleet.tables_mut(idx).quarantine;
-    quarantine.adopt(verdict(), Duration::ZERO, now);
+    quarantine.adopt(decision(), Duration::ZERO, now);
 }
 
-/// Pause of an instance before it copies what it lacks.
-const COPY_PAUSE_MS: u64 = 300;
+/// Interval in milliseconds at which an instance copies what it lacks.
+const COPY_INTERVAL_MS: u64 = 300;
 
-/// Lets instances copy from those that they know to hold more, as they do; gives those that hold no
-/// verdict after the time.
-fn lacking_after(fleet: &mut Fleet, ms: u64) -> Vec<usize> {
-    for _ in 0..ms / COPY_PAUSE_MS {
-        fleet.run_ms(COPY_PAUSE_MS);
+/// Lets instances copy from peers that have more decisions, as running ones do. Returns the
+/// instances without a decision at the end.
+fn instances_without_decision_after(fleet: &mut Fleet, ms: u64) -> Vec<usize> {
+    for _ in 0..ms / COPY_INTERVAL_MS {
+        fleet.run_ms(COPY_INTERVAL_MS);
         for idx in 0..fleet.len() {
             copy(fleet, idx);
         }
     }
     let running = (0..fleet.len()).filter(|idx| fleet.is_running(*idx));
-    let lacking = running.filter(|idx| fleet.tables(*idx).quarantine.digest() == 0);
-    lacking.collect()
+    let without_decision = running.filter(|idx| fleet.tables(*idx).quarantine.digest() == 0);
+    without_decision.collect()
 }
 
 fn copy(fleet: &mut Fleet, idx: usize) {
-    let Some(giver) = newer_peer(fleet, idx) else {
+    let Some(source) = newer_peer(fleet, idx) else {
         return;
     };
     let now = fleet.now;
-    let verdicts = fleet.tables(giver).quarantine.verdicts(now);
+    let verdicts = fleet.tables(source).quarantine.verdicts(now);
     let verdicts = verdicts.collect::<Vec<_>>();
     for AgedVerdict { verdict, age } in verdicts {
         fleet.tables_mut(idx).quarantine.adopt(verdict, age, now);
     }
 }
 
-/// One of those that an instance knows to hold more.
+/// Returns a peer that is known to have more decisions.
 fn newer_peer(fleet: &Fleet, idx: usize) -> Option<usize> {
     let tables = fleet.tables(idx);
     let live = tables.peers.live(fleet.now);
@@ -62,46 +62,47 @@
 }
 
 #[test]
-fn all_come_to_hold_a_verdict_of_one_instance() {
+fn a_decision_of_one_instance_reaches_all() {
     for (count, domains) in [(6, 3), (75, 3), (195, 5)] {
         let mut fleet = Fleet::start(count, domains, 7);
         fleet.run_ms(3_000);
-        rule(&mut fleet, count / 2);
-        let lacking = lacking_after(&mut fleet, KNOWN_MS);
-        assert!(lacking.is_empty(), "{count}: {lacking:?}");
+        decide(&mut fleet, count / 2);
+        let without_decision = instances_without_decision_after(&mut fleet, KNOWN_TIMEOUT_MS);
+        assert!(without_decision.is_empty(), "{count}: {without_decision:?}");
     }
 }
 
-/// Guards against a verdict that a newcomer, or one that was frozen, never gets.
+/// Guards against a decision that never reaches an instance that started, was suspended or was
+/// partitioned meanwhile.
 #[test]
-fn who_starts_thaws_or_comes_back_from_a_cut_holds_it() {
+fn a_decision_reaches_instances_after_a_start_a_suspension_or_a_partition() {
     let mut fleet = Fleet::start(60, 3, 11);
     fleet.network = Network::UNRELIABLE;
     fleet.run_ms(3_000);
-    let frozen = 17;
-    fleet.suspend(frozen);
+    let suspended = 17;
+    fleet.suspend(suspended);
     fleet.partitions = vec![(0, 1), (0, 2), (1, 0), (2, 0)];
     fleet.run_ms(500);
-    rule(&mut fleet, 31);
+    decide(&mut fleet, 31);
     fleet.run_ms(4_000);
     fleet.partitions.clear();
-    fleet.resume(frozen);
+    fleet.resume(suspended);
     fleet.restart(40, true);
-    let lacking = lacking_after(&mut fleet, KNOWN_MS);
-    assert!(lacking.is_empty(), "{lacking:?}");
+    let without_decision = instances_without_decision_after(&mut fleet, KNOWN_TIMEOUT_MS);
+    assert!(without_decision.is_empty(), "{without_decision:?}");
 }
 
-/// Guards against a verdict that is lost with the relays that knew it.
+/// Guards against a decision that is lost with the relays that knew it.
 #[test]
-fn it_spreads_while_relays_die() {
+fn a_decision_spreads_while_relays_fail() {
     let mut fleet = Fleet::start(60, 3, 13);
     fleet.run_ms(3_000);
-    rule(&mut fleet, 31);
+    decide(&mut fleet, 31);
     for relay in fleet.relays() {
         if relay != 31 {
             fleet.kill(relay);
         }
     }
-    let lacking = lacking_after(&mut fleet, KNOWN_MS);
-    assert!(lacking.is_empty(), "{lacking:?}");
+    let without_decision = instances_without_decision_after(&mut fleet, KNOWN_TIMEOUT_MS);
+    assert!(without_decision.is_empty(), "{without_decision:?}");
 }
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet that tells its news in virtual time, over a network that loses, doubles, delays and cuts, with
-//! instances that die, freeze and restart. The real tables run in it.
+//! A simulated fleet that exchanges state in virtual time. Its network loses, duplicates, delays
+//! and blocks datagrams, and its instances fail, are suspended and restart. It runs the real state
+//! of instances.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -26,30 +27,30 @@
 
 /// Step of the virtual time.
 const TICK: Duration = Duration::from_millis(5);
-/// Targets of the fleet.
+/// Number of targets.
 pub const TARGETS: usize = 20;
-/// A workspace whose spending is counted.
+/// The workspace whose spending is counted.
 const WORKSPACE: &str = "north";
 
-/// How a datagram fares.
+/// Behaviour of the network.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// Part that is lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// Part that comes twice.
+    /// Fraction of datagrams that arrive twice.
     pub duplicated: f64,
     /// Delay in milliseconds.
     pub delay: Range<u64>,
 }
 
 impl Network {
-    /// Nothing is lost.
+    /// No datagram is lost.
     pub const RELIABLE: Self = Self {
         loss: 0.0,
         duplicated: 0.0,
         delay: 1..3,
     };
-    /// One in twenty is lost or doubled, and they overtake each other.
+    /// One in twenty datagrams is lost, and one in twenty duplicated; they overtake each other.
     pub const UNRELIABLE: Self = Self {
         loss: 0.05,
         duplicated: 0.05,
@@ -70,7 +71,7 @@
     tables: Tables,
     state: State,
     next_round: Time,
-    /// Datagrams that came while it was frozen.
+    /// Datagrams that arrived while it was suspended.
     held: Vec<(SocketAddr, Vec<u8>)>,
     /// Bytes of datagrams sent and received.
     bytes: u64,
@@ -86,7 +87,7 @@
     in_transit: BinaryHeap<Reverse<(Time, u64, Datagram)>>,
     sent: u64,
     pub network: Network,
-    /// Pairs of domains between which nothing passes, from the first to the second.
+    /// Pairs of failure domains; datagrams from the first to the second are lost.
     pub partitions: Vec<(usize, usize)>,
     domains: usize,
     quota: Quota,
@@ -111,12 +112,12 @@
 }
 
 impl Fleet {
-    /// A fleet of `count` instances in `domains` failure domains that starts at once.
+    /// Creates a fleet of `count` instances in `domains` failure domains that start at once.
     pub fn start(count: usize, domains: usize, seed: u64) -> Self {
         Self::with_quota(count, domains, seed, quota(1, 1_000_000_000))
     }
 
-    /// The same with a quota of the workspace.
+    /// Creates a fleet with a quota of the workspace.
     pub fn with_quota(count: usize, domains: usize, seed: u64, quota: Quota) -> Self {
         let mut fleet = Self {
             nodes: Vec::new(),
@@ -149,18 +150,18 @@
     }
 
     fn member(&self, idx: usize, incarnation: u64) -> Member {
-        let strong = idx / self.domains < 3;
+        let is_large = idx / self.domains < 3;
         Member {
             incarnation: Incarnation(incarnation),
             gossip: address(idx, incarnation),
             failure_domain: FailureDomain::try_from(&*format!("d{}", idx % self.domains)).unwrap(),
-            strength: Strength(if strong { 50 } else { 12 }),
+            strength: Strength(if is_large { 50 } else { 12 }),
             name: InstanceId::try_from(&*format!("i{idx}")).unwrap(),
             ..member("i", "d")
         }
     }
 
-    /// Part of the fleet that one which restarts has not heard.
+    /// Fraction of the fleet that a restarted instance has not seen yet.
     fn undiscovered_fraction(&self) -> f64 {
         let count = u32::try_from(self.nodes.len()).unwrap();
         f64::from(count - 1) / f64::from(count)
@@ -178,7 +179,7 @@
             let target = target(target_id(idx).as_str(), "writers");
             tables.registry.put(target, Revision(1), self.now);
         }
-        let silent = if incarnation > 1 {
+        let undiscovered = if incarnation > 1 {
             self.undiscovered_fraction()
         } else {
             0.0
@@ -186,13 +187,13 @@
         tables.started = self.now;
         tables
             .quotas
-            .prepare(&workspace(), self.quota, silent, self.now);
+            .prepare(&workspace(), self.quota, undiscovered, self.now);
         let round = u64::try_from(ROUND_INTERVAL.as_millis()).unwrap();
-        let phase = Duration::from_millis(self.rng.random_range(0..round));
+        let offset = Duration::from_millis(self.rng.random_range(0..round));
         Node {
             tables,
             state: State::Running,
-            next_round: self.now + phase,
+            next_round: self.now + offset,
             held: Vec::new(),
             bytes: 0,
         }
@@ -206,7 +207,7 @@
         &self.nodes[idx].tables
     }
 
-    /// An instance takes some that are long gone for registered.
+    /// Registers peers at an instance that are long gone.
     pub fn add_stale_registrations(&mut self, idx: usize, count: usize) {
         let first = self.nodes.len();
         for stale in first..first + count {
@@ -257,8 +258,8 @@
         }
     }
 
-    /// Starts an instance anew, at another address if `moved`. It knows who is registered, and tells all
-    /// who it is.
+    /// Restarts an instance, at another address if `moved`. It knows the registered peers and
+    /// announces itself to all.
     pub fn restart(&mut self, idx: usize, moved: bool) {
         self.incarnations += 1;
         let incarnation = self.incarnations;
@@ -285,7 +286,7 @@
         }
     }
 
-    /// A request more, or less, of an instance at a target.
+    /// Adds a request of an instance at a target, or removes one.
     pub fn change_load(&mut self, idx: usize, target: usize, more: bool) {
         let tables = &mut self.nodes[idx].tables;
         if more {
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Asks an instance for a charge, as a request would; false if it is refused.
+    /// Charges a request on an instance. Returns false if it is rejected.
     pub fn charge(&mut self, idx: usize, limit: Quota, units: u64) -> bool {
         let tables = &mut self.nodes[idx].tables;
         let sharing = Sharing {
@@ -308,7 +309,7 @@
         charged == Charged::Within
     }
 
-    /// Spends on an instance, whatever the quota says.
+    /// Spends units on an instance regardless of the quota.
     pub fn spend(&mut self, idx: usize, units: u64) {
         let wide = quota(1, 1_000_000_000);
         let charged = self.nodes[idx].tables.quotas.charge(
@@ -322,12 +323,13 @@
         assert_eq!(charged, Charged::Within);
     }
 
-    /// What an instance believes to be left of the workspace's quota.
+    /// What remains of the workspace's quota from the instance's point of view.
     pub fn remaining(&self, idx: usize) -> i64 {
         self.tables(idx).quotas.dump()[0].left
     }
 
-    /// Requests that the others have at a target: as they are, and as an instance believes.
+    /// Requests of all other instances at a target: the real number, and the one that the instance
+    /// knows.
     pub fn others_load(&self, idx: usize, target: usize) -> (u32, u32) {
         let id = target_id(target);
         let others = self.nodes.iter().enumerate();
@@ -339,7 +341,7 @@
         (real, believed.requests)
     }
 
-    /// The first instance whose belief of the others' requests is wrong, if any.
+    /// Describes the first instance with a wrong number of requests of the others, if any.
     pub fn first_error(&self) -> Option<String> {
         let runs = (0..self.nodes.len()).filter(|idx| self.is_running(*idx));
         for idx in runs {
@@ -353,7 +355,7 @@
         None
     }
 
-    /// Instances that another one takes for live.
+    /// Number of peers that an instance considers live.
     pub fn live_peers(&self, idx: usize) -> usize {
         self.tables(idx).peers.live(self.now).count()
     }
@@ -439,17 +441,17 @@
         let Ok(Packet::Exchange(message)) = Packet::decode(buf) else {
             return;
         };
-        for answer in node.tables.receive_message(message, from, now) {
-            self.send(idx, from, &Packet::Exchange(answer));
+        for response in node.tables.receive_message(message, from, now) {
+            self.send(idx, from, &Packet::Exchange(response));
         }
     }
 
-    /// Puts a raw datagram in, as if it came from an address.
+    /// Delivers a raw datagram, as if it came from an address.
     pub fn inject(&mut self, idx: usize, from: SocketAddr, buf: &[u8]) {
         self.deliver(idx, from, buf);
     }
 
-    /// Requests on random instances and targets.
+    /// Adds requests of random instances at random targets.
     pub fn add_random_requests(&mut self, requests: usize) {
         for _ in 0..requests {
             let idx = self.rng.random_range(0..self.nodes.len());
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of decisions share.
+//! Helpers for the tests of decisions.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -29,7 +29,7 @@
 
 pub const MODEL: &str = "base";
 
-/// The time so many milliseconds after an hour.
+/// Returns the time `ms` milliseconds after the first hour.
 pub fn at(ms: u64) -> Time {
     Time::from_millis(3_600_000 + ms)
 }
@@ -187,7 +187,7 @@
     }
 }
 
-/// Settings of an instance that registers itself as `member`.
+/// Returns the settings of an instance that registers itself as `member`.
 pub fn settings(member: Member) -> NodeSettings {
     NodeSettings {
         member,
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! A store in virtual time that falls silent, and an instance that follows it.
+//! A simulated store in virtual time with outages, and an instance that follows it.
 
 use std::ops::Range;
 use std::sync::{Arc, Mutex};
@@ -21,21 +21,21 @@
 
 use super::{member, settings};
 
-/// What the deployment adds to the wait of a watch before it gives the call up.
+/// Time that the deployment adds to the wait of a watch before it abandons the call.
 const WATCH_MARGIN: Duration = Duration::from_millis(800);
-/// How long the deployment waits for any other answer.
+/// Timeout of the deployment for all other calls.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time that an answer takes.
+/// Time that a response takes.
 const RESPONSE_TIME: Duration = Duration::from_millis(8);
-/// Pause between looks for news while a watch waits.
+/// Interval at which a waiting watch checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the store does in its silence with a call that begins then.
+/// What happens to a call that starts during an outage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// It never answers, also after its return.
+    /// The store never responds, even after its recovery.
     Unresponsive,
-    /// It refuses at once.
+    /// The store rejects the call at once.
     Rejecting,
 }
 
@@ -44,8 +44,8 @@
     started: Instant,
     fault: Fault,
     outage: Range<Duration>,
-    /// Kind, object and when the store takes it; the revision is the place in the list and one.
-    news: Vec<(Kind, Object, Duration)>,
+    /// Kind, object and the time at which the store accepts it. The revision is the index plus one.
+    changes: Vec<(Kind, Object, Duration)>,
     sent: Mutex<Vec<(Revision, Duration)>>,
 }
 
@@ -54,11 +54,11 @@
 pub struct ScriptedStore(Arc<Script>);
 
 impl ScriptedStore {
-    /// A store that is away for a span; times count from now.
+    /// Creates a store with an outage. Times count from now.
     pub fn new(
         fault: Fault,
         outage: Range<Duration>,
-        news: Vec<(Kind, Content, Duration)>,
+        changes: Vec<(Kind, Content, Duration)>,
     ) -> Self {
         let object = |(idx, (kind, content, at)): (usize, (Kind, Content, Duration))| {
             let revision = Revision(u64::try_from(idx).unwrap() + 1);
@@ -78,12 +78,12 @@
             started: Instant::now(),
             fault,
             outage,
-            news: news.into_iter().enumerate().map(object).collect(),
+            changes: changes.into_iter().enumerate().map(object).collect(),
             sent: Mutex::default(),
         }))
     }
 
-    /// When an answer first held the news of that revision.
+    /// Returns when a response first contained the change of that revision.
     pub fn first_sent(&self, revision: Revision) -> Option<Duration> {
         let sent = self.0.sent.lock().unwrap();
         let mut sent = sent.iter().filter(|(of, _)| *of == revision);
@@ -100,10 +100,10 @@
 
     fn listing(&self, kind: Kind, after: Revision) -> Listing {
         let now = self.now();
-        let taken = self.0.news.iter().filter(|(_, _, at)| *at <= now);
-        let revision = taken.clone().map(|(_, object, _)| object.revision).max();
-        let fresh = taken.filter(|(of, object, _)| *of == kind && object.revision > after);
-        let objects = fresh.map(|(_, object, _)| object.clone()).collect();
+        let accepted = self.0.changes.iter().filter(|(_, _, at)| *at <= now);
+        let revision = accepted.clone().map(|(_, object, _)| object.revision).max();
+        let matching = accepted.filter(|(of, object, _)| *of == kind && object.revision > after);
+        let objects = matching.map(|(_, object, _)| object.clone()).collect();
         Listing {
             objects,
             revision: revision.unwrap_or_default(),
@@ -118,8 +118,8 @@
         Ok(listing)
     }
 
-    /// Ends a call that begins while the store is away as the deployment does.
-    async fn reach(&self, within: Duration) -> Result<(), StoreError> {
+    /// Fails a call that starts during the outage as the deployment does.
+    async fn fail_during_outage(&self, timeout: Duration) -> Result<(), StoreError> {
         if !self.outage() {
             return Ok(());
         }
@@ -129,7 +129,7 @@
                 Err(StoreError::Refused(503))
             }
             Fault::Unresponsive => {
-                tokio::time::sleep(within).await;
+                tokio::time::sleep(timeout).await;
                 Err(StoreError::NoAnswer("silent".into()))
             }
         }
@@ -138,7 +138,7 @@
 
 impl ObjectStore for ScriptedStore {
     async fn list(&self, kind: Kind) -> Result<Listing, StoreError> {
-        self.reach(RESPONSE_TIMEOUT).await?;
+        self.fail_during_outage(RESPONSE_TIMEOUT).await?;
         self.answer(self.listing(kind, Revision::default())).await
     }
 
@@ -148,15 +148,15 @@
         after: Revision,
         wait: Duration,
     ) -> Result<Listing, StoreError> {
-        self.reach(wait + WATCH_MARGIN).await?;
-        let begun = Instant::now();
+        self.fail_during_outage(wait + WATCH_MARGIN).await?;
+        let started_at = Instant::now();
         loop {
             let listing = self.listing(kind, after);
-            let due = !listing.objects.is_empty() || begun.elapsed() >= wait;
+            let due = !listing.objects.is_empty() || started_at.elapsed() >= wait;
             if due && !self.outage() {
                 return self.answer(listing).await;
             }
-            if begun.elapsed() >= wait + WATCH_MARGIN {
+            if started_at.elapsed() >= wait + WATCH_MARGIN {
                 return Err(StoreError::NoAnswer("silent".into()));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -164,7 +164,7 @@
     }
 
     async fn read(&self, _kind: Kind, _name: &str) -> Result<Option<Object>, StoreError> {
-        self.reach(RESPONSE_TIMEOUT).await?;
+        self.fail_during_outage(RESPONSE_TIMEOUT).await?;
         Ok(None)
     }
 
@@ -175,40 +175,40 @@
         _at: Option<Revision>,
         _content: &Content,
     ) -> Result<Revision, StoreError> {
-        self.reach(RESPONSE_TIMEOUT).await?;
+        self.fail_during_outage(RESPONSE_TIMEOUT).await?;
         Ok(Revision(1))
     }
 
     async fn remove(&self, _kind: Kind, _name: &str) -> Result<(), StoreError> {
-        self.reach(RESPONSE_TIMEOUT).await
+        self.fail_during_outage(RESPONSE_TIMEOUT).await
     }
 }
 
-/// A deployment with nothing but a store.
+/// A deployment that has only a store.
 #[derive(Debug)]
 pub struct StoreOnly;
 
 impl Edge for StoreOnly {
-    type Protocol = NoCallers;
+    type Protocol = NoTraffic;
     type Store = ScriptedStore;
-    type Settings = Unchanging;
+    type Settings = FixedSettings;
 }
 
-/// Settings that stay.
+/// Settings that do not change.
 #[derive(Debug)]
-pub struct Unchanging(NodeSettings);
+pub struct FixedSettings(NodeSettings);
 
-impl SettingsSource for Unchanging {
+impl SettingsSource for FixedSettings {
     fn read(&self) -> Result<NodeSettings, GatewayError> {
         Ok(self.0.clone())
     }
 }
 
-/// Nobody calls, and no target is called.
+/// A protocol without callers and targets.
 #[derive(Debug)]
-pub struct NoCallers;
+pub struct NoTraffic;
 
-impl Protocol for NoCallers {
+impl Protocol for NoTraffic {
     fn call(&self, _head: &request::Parts) -> Result<Call, BadCall> {
         unreachable!("nobody calls")
     }
@@ -274,7 +274,7 @@
     }
 }
 
-/// Runs an instance alone before a store for so long, in virtual time; `store` makes it.
+/// Runs a single instance with a store for a time span, in virtual time. `store` creates the store.
 pub fn follow_for(span: Duration, store: impl FnOnce() -> ScriptedStore) -> ScriptedStore {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -284,8 +284,8 @@
     runtime.block_on(async {
         let store = store();
         let settings = settings(member_on_any_port());
-        let source = Unchanging(settings.clone());
-        let running = run::<StoreOnly>(settings, source, NoCallers, store.clone());
+        let source = FixedSettings(settings.clone());
+        let running = run::<StoreOnly>(settings, source, NoTraffic, store.clone());
         let ended = tokio::time::timeout(span, running).await;
         assert!(ended.is_err(), "the instance ended by itself: {ended:?}");
         store
