--- a/crates/gateway/src/decide/exchange/relays.rs
+++ b/crates/gateway/src/decide/exchange/relays.rs
@@ -26,9 +26,9 @@
     /// It gives its slot up only to instances that already relay.
     pub(super) fn claim_relay_slot(&mut self, now: Time) -> bool {
         let key = name_hash(RELAY_KEY);
-        let local = self.local.precedence(key);
+        let local_precedence = self.local.precedence(key);
         let preferred = self.live_in_domain(now);
-        let preferred = preferred.filter(|peer| peer.member.precedence(key) > local);
+        let preferred = preferred.filter(|peer| peer.member.precedence(key) > local_precedence);
         let roles = preferred.map(|peer| peer.role).collect::<Vec<_>>();
         let is_relay = |role: &&Role| **role == Role::Relay;
         let has_slot = |role: &&Role| role.receives_all();
@@ -46,9 +46,9 @@
 
     /// Live peers in the local failure domain.
     pub(super) fn live_in_domain(&self, now: Time) -> impl Iterator<Item = &Peer> {
-        let local = &self.local.failure_domain;
+        let local_domain = &self.local.failure_domain;
         let live = self.peers.live(now);
-        live.filter(move |peer| peer.member.failure_domain == *local)
+        live.filter(move |peer| peer.member.failure_domain == *local_domain)
     }
 
     pub(super) fn relay_addresses(
--- a/crates/gateway/src/decide/exchange/updates.rs
+++ b/crates/gateway/src/decide/exchange/updates.rs
@@ -70,13 +70,13 @@
 
     /// Load of all instances, including this one, at each target, in the order of the target list.
     pub(super) fn sums(&self) -> Vec<(ShortHash, Load)> {
-        let local = self.local_loads();
-        let local = local.map(|(target, load)| (ShortHash::of(target.as_str()), load));
-        let local = local.collect::<BTreeMap<_, _>>();
+        let local_loads = self.local_loads();
+        let local_loads = local_loads.map(|(target, load)| (ShortHash::of(target.as_str()), load));
+        let local_loads = local_loads.collect::<BTreeMap<_, _>>();
         let targets = self.registry.target_hashes();
         let sums = targets.map(|target| {
             let mut sum = self.peers.load(target);
-            sum.add(local.get(&target).copied().unwrap_or_default());
+            sum.add(local_loads.get(&target).copied().unwrap_or_default());
             (target, sum)
         });
         sums.collect()
@@ -84,9 +84,9 @@
 
     /// Statuses of the peers that hold leases and of the other relays of the local failure domain.
     pub(super) fn statuses_to_forward(&self, now: Time) -> Vec<Status> {
-        let local = &self.local.failure_domain;
+        let local_domain = &self.local.failure_domain;
         let live = self.peers.live(now).filter(|peer| {
-            let is_relay = peer.role.receives_all() && peer.member.failure_domain == *local;
+            let is_relay = peer.role.receives_all() && peer.member.failure_domain == *local_domain;
             is_relay || !peer.claims.is_empty() || !peer.shards.is_empty()
         });
         live.map(|peer| peer.status(now).without_sums()).collect()
@@ -114,13 +114,13 @@
                 && peer.quarantine_digest == local_versions.quarantine_digest;
             [live, peer.ready, peer.store_reachable, same]
         });
-        let local = [
+        let local_bits = [
             true,
             self.ready(),
             self.registry.is_store_reachable(now),
             true,
         ];
-        let bits = bits.chain([local]).collect::<Vec<_>>();
+        let bits = bits.chain([local_bits]).collect::<Vec<_>>();
         let column = |idx: usize| bits.iter().map(|row| row[idx]).collect();
         Liveness {
             roster: self.roster().digest(),
--- a/crates/gateway/src/decide/exchange/upstream.rs
+++ b/crates/gateway/src/decide/exchange/upstream.rs
@@ -95,10 +95,10 @@
                 relays.retain(|relay| **relay != upstream.relay);
             }
         }
-        let local = self.local.name.as_str();
+        let local_name = self.local.name.as_str();
         let next = relays
             .into_iter()
-            .max_by_key(|relay| weight(name_hash(relay.as_str()), local));
+            .max_by_key(|relay| weight(name_hash(relay.as_str()), local_name));
         self.exchange.upstream = next.map(|relay| Upstream {
             relay: relay.clone(),
             since: now,
--- a/crates/gateway/src/decide/store_access.rs
+++ b/crates/gateway/src/decide/store_access.rs
@@ -44,9 +44,9 @@
         let is_new = self.is_new(now);
         let is_waiting = now.since(self.started) < COPY_TIMEOUT;
         let key = name_hash(FOLLOWER_KEY);
-        let local = self.local.precedence(key);
+        let local_precedence = self.local.precedence(key);
         let preferred = self.peers.all();
-        let preferred = preferred.filter(|peer| peer.member.precedence(key) > local);
+        let preferred = preferred.filter(|peer| peer.member.precedence(key) > local_precedence);
         let is_able = |peer: &&Peer| peer.seen_within(DOWN_THRESHOLD, now) && peer.store_reachable;
         let is_undiscovered = |peer: &&Peer| is_new && peer.last_seen.is_none();
         if self.configured() {
@@ -88,9 +88,9 @@
     pub fn may_hold_leases(&self) -> bool {
         (0..SHARDS).any(|shard| {
             let key = lease_key(shard);
-            let local = self.local.precedence(key);
+            let local_precedence = self.local.precedence(key);
             let preferred = self.peers.all();
-            let preferred = preferred.filter(|peer| peer.member.precedence(key) > local);
+            let preferred = preferred.filter(|peer| peer.member.precedence(key) > local_precedence);
             preferred.count() < LEASE_CANDIDATES
         })
     }
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -3,6 +3,7 @@
 mod support;
 
 use bluebellstage_gateway::decide::exchange::MAX_DIRECT_FLEET;
+use bluebellstage_gateway::decide::status::Role;
 use bluebellstage_gateway::packet::Packet;
 use support::fleet::{Fleet, Network};
 use support::quota;
@@ -88,8 +89,8 @@
         let mut elapsed = 0;
         loop {
             let unaware = (0..count).filter(|other| {
-                let (real, believed) = fleet.others_load(*other, 0);
-                real != believed
+                let (real, known) = fleet.others_load(*other, 0);
+                real != known
             });
             if unaware.count() * 100 <= count {
                 break;
@@ -137,10 +138,10 @@
 #[test]
 fn subscribers_of_a_failed_relay_switch_to_the_other_one_in_time() {
     let mut fleet = converged_fleet(75, 3, 6);
-    let [first, ..] = fleet.relays()[..] else {
+    let [relay, ..] = fleet.relays()[..] else {
         panic!("no relay");
     };
-    fleet.kill(first);
+    fleet.kill(relay);
     for _ in 0..40 {
         fleet.run_ms(50);
         let min_live = (0..75).filter(|idx| fleet.is_running(*idx));
@@ -155,15 +156,15 @@
     let mut fleet = converged_fleet(75, 3, 7);
     fleet.add_random_requests(100);
     fleet.run_ms(500);
-    let [first, ..] = fleet.relays()[..] else {
+    let [relay, ..] = fleet.relays()[..] else {
         panic!("no relay");
     };
-    fleet.suspend(first);
+    fleet.suspend(relay);
     fleet.run_ms(3_000);
     fleet.add_random_requests(50);
     fleet.run_ms(1_000);
     assert_eq!(fleet.first_error(), None, "while it is suspended");
-    fleet.resume(first);
+    fleet.resume(relay);
     // The resumed relay selects an upstream relay first; until then the others do not know its
     // load.
     fleet.run_ms(800);
@@ -176,34 +177,35 @@
 /// Guards against relays that can send to each other in one direction only.
 #[test]
 fn a_failure_domain_recovers_from_a_partition_in_one_or_both_directions() {
-    for both in [false, true] {
+    for is_mutual in [false, true] {
         let mut fleet = converged_fleet(60, 3, 8);
         fleet.add_random_requests(100);
         fleet.run_ms(500);
-        let mut cuts = vec![(0, 1), (0, 2)];
-        if both {
-            cuts.extend([(1, 0), (2, 0)]);
+        let mut partitions = vec![(0, 1), (0, 2)];
+        if is_mutual {
+            partitions.extend([(1, 0), (2, 0)]);
         }
-        fleet.partitions = cuts;
+        fleet.partitions = partitions;
         fleet.run_ms(4_000);
         for idx in 0..60 {
             let live_in_domain = fleet.tables(idx).peers.live(fleet.now);
-            let own = &fleet.tables(idx).local.failure_domain;
-            let live_in_domain = live_in_domain.filter(|peer| peer.member.failure_domain == *own);
+            let local_domain = &fleet.tables(idx).local.failure_domain;
+            let live_in_domain =
+                live_in_domain.filter(|peer| peer.member.failure_domain == *local_domain);
             assert_eq!(
                 live_in_domain.count(),
                 19,
-                "i{idx} in its own domain, both ways: {both}"
+                "i{idx} in its own domain, both directions: {is_mutual}"
             );
         }
         assert_eq!(
             fleet.live_peers(1),
             39,
-            "the partitioned domain is down, both ways: {both}"
+            "the partitioned domain is down, both directions: {is_mutual}"
         );
         fleet.partitions.clear();
         fleet.run_ms(2_000);
-        assert_eq!(fleet.first_error(), None, "both ways: {both}");
+        assert_eq!(fleet.first_error(), None, "both directions: {is_mutual}");
     }
 }
 
@@ -257,8 +259,8 @@
         }
         for idx in (0..count).filter(|idx| fleet.is_running(*idx)) {
             let counted = before[idx] - fleet.remaining(idx);
-            let off = (counted - spent).abs();
-            assert!(off <= 20, "i{idx} of {count}: {counted}, not {spent}");
+            let error = (counted - spent).abs();
+            assert!(error <= 20, "i{idx} of {count}: {counted}, not {spent}");
         }
     }
 }
@@ -320,18 +322,18 @@
 /// Maximum number of admitted tokens in any eight seconds.
 fn max_in_window(runs: &[u64]) -> u64 {
     let window = 8 * STEPS_PER_SECOND;
-    let most = runs.iter().enumerate().map(|(idx, from)| {
+    let totals = runs.iter().enumerate().map(|(idx, from)| {
         let within = runs[idx..].iter().take_while(|at| **at < from + window);
         u64::try_from(within.count()).unwrap() * DRAFT
     });
-    most.max().unwrap_or(0)
+    totals.max().unwrap_or(0)
 }
 
 fn assert_within_quota(runs: &[u64]) {
-    let most = max_in_window(runs);
+    let max = max_in_window(runs);
     let allowed = (RATE * 8 + BURST) * 11 / 10 + SLACK;
-    assert!(most <= allowed, "{most} of {allowed}");
-    assert!(most >= RATE * 8 * 9 / 10, "{most}");
+    assert!(max <= allowed, "{max} of {allowed}");
+    assert!(max >= RATE * 8 * 9 / 10, "{max}");
 }
 
 /// Guards against a workspace that exceeds its quota when its load rises suddenly in a large fleet,
@@ -394,13 +396,13 @@
     for telling in tellings {
         let buf = Packet::Exchange(telling.message).encode().unwrap();
         fleet.inject(0, unknown_sender, &buf);
-        for cut in 0..buf.len() {
-            fleet.inject(0, known_sender, &buf[..cut]);
+        for len in 0..buf.len() {
+            fleet.inject(0, known_sender, &buf[..len]);
         }
-        for first in 0..=255 {
+        for first_byte in 0..=255 {
             let mut other = buf.clone();
-            other[0] = first;
-            if first != buf[0] {
+            other[0] = first_byte;
+            if first_byte != buf[0] {
                 fleet.inject(0, known_sender, &other);
             }
         }
@@ -430,8 +432,8 @@
             6 => fleet.restart(any, any.is_multiple_of(2)),
             _ => fleet.partitions.clear(),
         }
-        let pause = fleet.random_below(900);
-        fleet.run_ms(u64::try_from(pause).unwrap());
+        let delay = fleet.random_below(900);
+        fleet.run_ms(u64::try_from(delay).unwrap());
     }
     fleet.partitions.clear();
     fleet.network = Network::RELIABLE;
@@ -448,3 +450,17 @@
         run_random_faults(seed);
     }
 }
+
+/// Roles appear under these names in the dump for operators and in logs.
+#[test]
+fn roles_are_written_out_under_their_names() {
+    for (role, name) in [
+        (Role::Subscriber, "asks"),
+        (Role::Candidate, "listens"),
+        (Role::Relay, "relays"),
+    ] {
+        assert_eq!(serde_json::to_value(role).unwrap(), name);
+        assert_eq!(serde_json::from_value::<Role>(name.into()).unwrap(), role);
+        assert_eq!(role.name(), name);
+    }
+}
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -210,8 +210,8 @@
     /// Registers peers at an instance that are long gone.
     pub fn add_stale_registrations(&mut self, idx: usize, count: usize) {
         let first = self.nodes.len();
-        for stale in first..first + count {
-            let stale = self.member(stale, 1);
+        for stale_idx in first..first + count {
+            let stale = self.member(stale_idx, 1);
             self.nodes[idx].tables.peers.register(stale);
         }
     }
@@ -227,9 +227,9 @@
     /// Instances that relay.
     pub fn relays(&self) -> Vec<usize> {
         let all = 0..self.nodes.len();
-        let relays =
+        let is_relay =
             |idx: &usize| self.is_running(*idx) && self.tables(*idx).exchange.role() == Role::Relay;
-        all.filter(relays).collect()
+        all.filter(is_relay).collect()
     }
 
     /// Bytes of datagrams that an instance sent and received so far.
@@ -287,9 +287,9 @@
     }
 
     /// Adds a request of an instance at a target, or removes one.
-    pub fn change_load(&mut self, idx: usize, target: usize, more: bool) {
+    pub fn change_load(&mut self, idx: usize, target: usize, add: bool) {
         let tables = &mut self.nodes[idx].tables;
-        if more {
+        if add {
             tables.start_request(&target_id(target));
         } else {
             tables.end_request(&target_id(target));
@@ -304,17 +304,17 @@
             lag: tables.update_age(self.now),
         };
         let quotas = &mut tables.quotas;
-        let pause = Duration::ZERO;
-        let charged = quotas.charge(&workspace(), limit, units, sharing, pause, self.now);
+        let max_wait = Duration::ZERO;
+        let charged = quotas.charge(&workspace(), limit, units, sharing, max_wait, self.now);
         charged == Charged::Within
     }
 
     /// Spends units on an instance regardless of the quota.
     pub fn spend(&mut self, idx: usize, units: u64) {
-        let wide = quota(1, 1_000_000_000);
+        let large_quota = quota(1, 1_000_000_000);
         let charged = self.nodes[idx].tables.quotas.charge(
             &workspace(),
-            wide,
+            large_quota,
             units,
             Sharing::default(),
             Duration::ZERO,
@@ -337,8 +337,8 @@
         let real = others
             .map(|(_, node)| node.tables.local_in_flight(&id))
             .sum();
-        let believed = self.tables(idx).peers.load(ShortHash::of(id.as_str()));
-        (real, believed.requests)
+        let known = self.tables(idx).peers.load(ShortHash::of(id.as_str()));
+        (real, known.requests)
     }
 
     /// Describes the first instance with a wrong number of requests of the others, if any.
@@ -346,9 +346,9 @@
         let runs = (0..self.nodes.len()).filter(|idx| self.is_running(*idx));
         for idx in runs {
             for target in 0..TARGETS {
-                let (real, believed) = self.others_load(idx, target);
-                if real != believed {
-                    return Some(format!("i{idx} at e{target}: {believed}, not {real}"));
+                let (real, known) = self.others_load(idx, target);
+                if real != known {
+                    return Some(format!("i{idx} at e{target}: {known}, not {real}"));
                 }
             }
         }
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -94,7 +94,7 @@
         self.0.started.elapsed()
     }
 
-    fn outage(&self) -> bool {
+    fn is_down(&self) -> bool {
         self.0.outage.contains(&self.now())
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    async fn answer(&self, listing: Listing) -> Result<Listing, StoreError> {
+    async fn respond(&self, listing: Listing) -> Result<Listing, StoreError> {
         tokio::time::sleep(RESPONSE_TIME).await;
         let now = self.now();
         let sent = listing.objects.iter().map(|object| (object.revision, now));
@@ -120,7 +120,7 @@
 
     /// Fails a call that starts during the outage as the deployment does.
     async fn fail_during_outage(&self, timeout: Duration) -> Result<(), StoreError> {
-        if !self.outage() {
+        if !self.is_down() {
             return Ok(());
         }
         match self.0.fault {
@@ -130,7 +130,7 @@
             }
             Fault::Unresponsive => {
                 tokio::time::sleep(timeout).await;
-                Err(StoreError::NoAnswer("silent".into()))
+                Err(StoreError::NoAnswer("no response".into()))
             }
         }
     }
@@ -139,7 +139,7 @@
 impl ObjectStore for ScriptedStore {
     async fn list(&self, kind: Kind) -> Result<Listing, StoreError> {
         self.fail_during_outage(RESPONSE_TIMEOUT).await?;
-        self.answer(self.listing(kind, Revision::default())).await
+        self.respond(self.listing(kind, Revision::default())).await
     }
 
     async fn watch(
@@ -152,12 +152,12 @@
         let started_at = Instant::now();
         loop {
             let listing = self.listing(kind, after);
-            let due = !listing.objects.is_empty() || started_at.elapsed() >= wait;
-            if due && !self.outage() {
-                return self.answer(listing).await;
+            let is_due = !listing.objects.is_empty() || started_at.elapsed() >= wait;
+            if is_due && !self.is_down() {
+                return self.respond(listing).await;
             }
             if started_at.elapsed() >= wait + WATCH_MARGIN {
-                return Err(StoreError::NoAnswer("silent".into()));
+                return Err(StoreError::NoAnswer("no response".into()));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -210,19 +210,19 @@
 
 impl Protocol for NoTraffic {
     fn call(&self, _head: &request::Parts) -> Result<Call, BadCall> {
-        unreachable!("nobody calls")
+        unreachable!("there are no callers")
     }
 
     fn forward_headers(&self, _head: &request::Parts, _forward: &Forward<'_>) -> HeaderMap {
-        unreachable!("nobody calls")
+        unreachable!("there are no callers")
     }
 
     fn answer_head(&self, _head: &response::Parts) -> AnswerHead {
-        unreachable!("no target is called")
+        unreachable!("there are no targets")
     }
 
     fn answer_headers(&self, _head: &response::Parts) -> HeaderMap {
-        unreachable!("no target is called")
+        unreachable!("there are no targets")
     }
 
     fn own_body(&self, _message: &str) -> Bytes {
@@ -230,7 +230,7 @@
     }
 
     fn report_request(&self, _target: &Target) -> Request<Bytes> {
-        unreachable!("no engine is known")
+        unreachable!("there are no engines")
     }
 
     fn report(&self, _body: &[u8]) -> Option<Report> {
@@ -244,11 +244,11 @@
         _holder: &str,
         _fencing: u64,
     ) -> Request<Bytes> {
-        unreachable!("no engine is known")
+        unreachable!("there are no engines")
     }
 
     fn order_answer(&self, _status: StatusCode) -> OrderAnswer {
-        unreachable!("no engine is known")
+        unreachable!("there are no engines")
     }
 
     fn is_resolve(&self, _head: &request::Parts) -> Option<Option<Box<str>>> {
@@ -285,9 +285,9 @@
         let store = store();
         let settings = settings(member_on_any_port());
         let source = FixedSettings(settings.clone());
-        let running = run::<StoreOnly>(settings, source, NoTraffic, store.clone());
-        let ended = tokio::time::timeout(span, running).await;
-        assert!(ended.is_err(), "the instance ended by itself: {ended:?}");
+        let instance = run::<StoreOnly>(settings, source, NoTraffic, store.clone());
+        let ended = tokio::time::timeout(span, instance).await;
+        assert!(ended.is_err(), "the instance stopped by itself: {ended:?}");
         store
     })
 }
