--- a/crates/gateway/src/decide/exchange/mod.rs
+++ b/crates/gateway/src/decide/exchange/mod.rs
@@ -42,9 +42,9 @@
 const MAX_ROUND_GAP: Duration = Duration::from_millis(350);
 /// Time for which an instance must have run without such a gap before it takes a relay slot.
 const RELAY_WARMUP: Duration = Duration::from_millis(300);
-/// Rounds from one full round to the next. A full round also carries liveness and the holders of leases, a relay
-/// sends its status to its whole failure domain, and an instance without a relay sends its status
-/// to all.
+/// Rounds from one full round to the next. A full round also carries liveness and the holders of
+/// leases, a relay sends its status to its whole failure domain, and an instance without a relay
+/// sends its status to all.
 const FULL_ROUND_INTERVAL: u32 = 3;
 
 /// State of the exchange with other instances.
