--- a/crates/gateway/src/decide/mod.rs
+++ b/crates/gateway/src/decide/mod.rs
@@ -1,9 +1,8 @@
-//! Decisions as plain state machines: time and randomness come in as arguments.
+//! Decisions as pure state machines; time and random numbers are passed as arguments.
 
 pub mod account;
 pub mod adapter;
 mod adapter_choice;
-pub mod asking;
 pub mod call;
 pub mod change_log;
 pub mod config;
@@ -17,7 +16,6 @@
 pub mod limits;
 pub mod load_wait;
 pub mod loader;
-pub mod news;
 pub mod peers;
 mod picking;
 pub mod placement;
@@ -26,6 +24,7 @@
 pub mod quota;
 pub mod refusal;
 pub mod registry;
+pub mod relay_update;
 pub mod reload;
 pub mod rendezvous;
 pub mod residency;
@@ -33,7 +32,8 @@
 pub mod routes;
 pub mod status;
 pub mod stopping;
-pub mod store_waits;
+pub mod store_access;
+pub mod store_calls;
 pub mod tables;
 pub mod target;
 pub mod versions;
--- a/crates/gateway/src/decide/tables.rs
+++ b/crates/gateway/src/decide/tables.rs
@@ -1,4 +1,4 @@
-//! All that an instance knows, and the decisions that need several parts of it.
+//! The state of an instance, and the decisions that depend on several parts of it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,89 +25,93 @@
 use super::residency::Residency;
 use super::retry_budget::{RetryBudget, RetryCounts};
 use super::routes::{RouteTable, Routed, pick_service};
-use super::store_waits::StoreWaits;
+use super::store_calls::StoreCalls;
 use super::versions::Versions;
 
-/// Part of a route's target latency for which a request waits for its workspace's quota: a refused
-/// caller would lose more on its way back, and an engine still answers in the rest.
-const QUOTA_PAUSE_PART: f64 = 0.4;
-/// Longest time that a refused caller is told to wait; later it has little time left.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(3);
+/// Fraction of a route's target latency for which a request may wait for its workspace's quota. A
+/// rejected caller would lose more time on its way back, and an engine can still respond in the
+/// rest.
+const QUOTA_WAIT_FRACTION: f64 = 0.4;
+/// Maximum time after which a rejected caller is told to retry. With a longer one the caller would
+/// have little time left.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// Loads on the engines whose shards an instance holds.
+/// Loads on the engines whose shards this instance holds.
 #[derive(Clone, Debug, Default)]
-pub struct OwnLoads {
-    /// Loads from the weight store that are under way.
-    pub under_way: u16,
+pub struct LocalLoads {
+    /// Loads from the weight store in progress.
+    pub active: u16,
     /// Adapters that wait for a load.
     pub waiting: u16,
-    /// Places for adapters on each engine.
-    pub places: HashMap<ShortHash, Places>,
+    /// Adapter slots of each engine.
+    pub adapter_slots: HashMap<ShortHash, Places>,
 }
 
-/// All that an instance knows.
+/// The state of an instance.
 #[derive(Debug)]
 pub struct Tables {
-    /// This instance.
-    pub me: Member,
+    /// Registration of this instance.
+    pub local: Member,
     /// When the process started.
     pub started: Time,
     /// The configuration in force.
     pub routes: Arc<RouteTable>,
-    /// Targets.
+    /// Registered targets.
     pub registry: Registry,
     /// Other instances.
     pub peers: Peers,
-    /// Buckets of workspaces.
+    /// Quotas of workspaces.
     pub quotas: Quotas,
-    /// Requests and repeats.
+    /// Counts of requests and retries.
     pub retries: RetryCounts,
-    /// What targets proved to be.
+    /// Health of targets.
     pub health: Health,
-    /// Limits that targets name.
+    /// Request limits that targets report.
     pub limits: Limits,
-    /// Requests under which targets end.
+    /// Requests under which targets crash.
     pub quarantine: Quarantine,
-    /// Which engine holds which adapter.
+    /// Resident adapters of engines.
     pub residency: Residency,
     /// Newest versions of adapters.
     pub versions: Versions,
-    /// Requests that engines have not begun.
+    /// Prompts that engines have not started.
     pub queues: PromptQueues,
-    /// Shards on which this instance may order loads now.
+    /// Shards for which this instance may order loads.
     pub shards: Vec<u8>,
-    /// Shards whose leases this instance holds, also while it may not order yet.
+    /// Shards whose leases this instance holds, including those for which it may not order loads
+    /// yet.
     pub claims: Vec<u8>,
     /// Loads on the engines whose shards this instance holds.
-    pub loads: OwnLoads,
+    pub loads: LocalLoads,
     /// Calls to the store by kind of objects.
-    pub store_waits: StoreWaits,
-    /// What is told to other instances and heard from them.
+    pub store_calls: StoreCalls,
+    /// Exchange of state with other instances.
     pub exchange: Exchange,
-    /// A planned stop was asked for.
+    /// Whether a planned stop was requested.
     pub stopping: bool,
     budget: RetryBudget,
     in_flight: HashMap<TargetId, u32>,
-    /// Suspected requests of this instance at each target.
+    /// Requests suspected of crashing targets that this instance has at each target.
     pub(super) suspects_at: HashMap<TargetId, u32>,
-    /// Where adapters were asked for lately, so that all that wait for one wait at one engine.
-    pub(super) asked: HashMap<AdapterKey, (TargetId, Time)>,
+    /// The engine last chosen to load each adapter, so that all requests for an adapter wait at one
+    /// engine.
+    pub(super) recent_engines: HashMap<AdapterKey, (TargetId, Time)>,
 }
 
-/// A request that may go on.
+/// An admitted request.
 #[derive(Clone, Debug)]
 pub struct Ticket {
     routes: Arc<RouteTable>,
     route: usize,
     /// The service that runs it.
     pub service: ServiceId,
-    /// Who pays.
+    /// The workspace that is charged.
     pub workspace: Option<WorkspaceId>,
-    /// What was charged.
+    /// Units that were charged.
     pub charge: u64,
-    /// Time until the quota has room for it.
-    pub pause: Duration,
-    /// Rank, 0 first.
+    /// Time to wait until the quota allows the request.
+    pub quota_wait: Duration,
+    /// Priority rank; 0 comes first.
     pub rank: u8,
 }
 
@@ -118,7 +122,7 @@
         self.routes.route(self.route)
     }
 
-    /// Version of the configuration that it was admitted under.
+    /// Version of the configuration under which the request was admitted.
     #[must_use]
     pub fn config(&self) -> Revision {
         self.routes.version()
@@ -126,11 +130,11 @@
 }
 
 impl Tables {
-    /// Knows nothing but itself.
+    /// Creates the state of an instance that knows only itself.
     #[must_use]
-    pub fn new(me: Member, budget: RetryBudget) -> Self {
+    pub fn new(local: Member, budget: RetryBudget) -> Self {
         Self {
-            me,
+            local,
             started: Time::default(),
             routes: Arc::default(),
             registry: Registry::default(),
@@ -145,54 +149,54 @@
             queues: PromptQueues::default(),
             shards: Vec::new(),
             claims: Vec::new(),
-            loads: OwnLoads::default(),
-            store_waits: StoreWaits::default(),
+            loads: LocalLoads::default(),
+            store_calls: StoreCalls::default(),
             exchange: Exchange::default(),
             stopping: false,
             budget,
             in_flight: HashMap::new(),
             suspects_at: HashMap::new(),
-            asked: HashMap::new(),
+            recent_engines: HashMap::new(),
         }
     }
 
-    /// Puts another limit on repeats in force.
+    /// Replaces the budget of retries.
     pub fn set_retry_budget(&mut self, budget: RetryBudget) {
         self.budget = budget;
     }
 
-    /// A configuration is known.
+    /// Whether a configuration is known.
     #[must_use]
     pub fn configured(&self) -> bool {
         self.routes.version() > Revision::default()
     }
 
-    /// Callers may be sent here.
+    /// Whether this instance accepts callers.
     #[must_use]
     pub fn ready(&self) -> bool {
         self.configured() && !self.stopping
     }
 
-    /// Puts a configuration in force, unless it is older; true if it is newer.
+    /// Puts a configuration in force if it is newer. Returns whether it is.
     pub fn adopt(&mut self, config: Config, now: Time) -> bool {
         if config.version <= self.routes.version() {
             return false;
         }
-        let silent = self.unheard_share(now);
+        let unknown = self.unknown_spending_fraction(now);
         for workspace in &config.workspaces {
             if let Some(quota) = workspace.quota {
-                self.quotas.prepare(&workspace.name, quota, silent, now);
+                self.quotas.prepare(&workspace.name, quota, unknown, now);
             }
         }
         self.routes = Arc::new(RouteTable::new(Arc::new(config)));
         true
     }
 
-    /// Lets a request in, or says why not. `draw` is random.
+    /// Admits or rejects a request. `draw` is a random number.
     ///
     /// # Errors
     ///
-    /// The refusal, if the request may not go on.
+    /// Returns the refusal if the request is rejected.
     pub fn admit(&mut self, call: &Call, draw: u64, now: Time) -> Result<Ticket, Refusal> {
         if !self.configured() {
             return Err(Refusal::NotConfigured);
@@ -206,25 +210,28 @@
         let service = pick_service(routes.route(route), draw).ok_or(Refusal::NoTarget)?;
         let workspace = workspace.map(|idx| routes.workspace(idx));
         let mut charge = 0;
-        let mut pause = Duration::ZERO;
+        let mut quota_wait = Duration::ZERO;
         if let Some(workspace) = workspace
             && let Some(quota) = workspace.quota
         {
             charge = quota.unit.charge(call.tokens);
             let sharing = Sharing {
-                silent: self.unheard_share(now),
-                lag: self.news_age(now),
+                silent: self.unknown_spending_fraction(now),
+                lag: self.update_age(now),
             };
-            let longest_pause = routes.route(route).target_latency.mul_f64(QUOTA_PAUSE_PART);
+            let max_quota_wait = routes
+                .route(route)
+                .target_latency
+                .mul_f64(QUOTA_WAIT_FRACTION);
             let name = &workspace.name;
             let quotas = &mut self.quotas;
-            match quotas.charge(name, quota, charge, sharing, longest_pause, now) {
+            match quotas.charge(name, quota, charge, sharing, max_quota_wait, now) {
                 Charged::Within => {}
-                Charged::After(wait) => pause = wait,
+                Charged::After(wait) => quota_wait = wait,
                 Charged::Over { retry_after, left } => {
                     return Err(Refusal::OverQuota {
                         workspace: name.clone(),
-                        retry_after: retry_after.min(LONGEST_RETRY_AFTER),
+                        retry_after: retry_after.min(MAX_RETRY_AFTER),
                         left,
                         charge,
                         rate: quota.rate,
@@ -238,46 +245,46 @@
             service: service.clone(),
             workspace: workspace.map(|workspace| workspace.name.clone()),
             charge,
-            pause,
+            quota_wait,
             rank: rank.unwrap_or(routes.route(route).rank),
             route,
             routes,
         })
     }
 
-    /// Gives back what a request was charged that did not run.
-    pub fn not_run(&mut self, ticket: &Ticket) {
+    /// Refunds the charge of a request that did not run.
+    pub fn refund(&mut self, ticket: &Ticket) {
         if let Some(workspace) = &ticket.workspace {
             self.quotas.give_back(workspace, ticket.charge);
         }
     }
 
-    /// Whether `peer` knows something of the store that this instance doesn't.
+    /// Whether `peer` has store data that this instance lacks.
     #[must_use]
     pub fn is_behind(&self, peer: &Peer) -> bool {
         let other_targets = peer.targets > self.registry.revision()
             && peer.targets_digest != self.registry.digest();
         let newer_config = peer.config > self.routes.version();
-        let other_verdicts =
-            peer.verdicts_digest != 0 && peer.verdicts_digest != self.quarantine.digest();
+        let other_decisions =
+            peer.quarantine_digest != 0 && peer.quarantine_digest != self.quarantine.digest();
         let newer_versions = peer.versions > self.versions.total();
-        newer_config || other_targets || newer_versions || other_verdicts
+        newer_config || other_targets || newer_versions || other_decisions
     }
 
-    /// Takes one repeat out of the service's budget; false if there is none left.
+    /// Takes one retry out of the service's budget. Returns false if the budget is used up.
     pub fn take_retry(&mut self, service: &ServiceId, now: Time) -> bool {
-        let sharing = self.peers.sharing(now);
+        let sharing = self.peers.sharing_count(now);
         self.retries.take(service, self.budget, sharing, now)
     }
 
-    /// Requests of this instance at a target.
+    /// Returns the number of requests of this instance at a target.
     #[must_use]
-    pub fn own_in_flight(&self, target: &TargetId) -> u32 {
+    pub fn local_in_flight(&self, target: &TargetId) -> u32 {
         self.in_flight.get(target).copied().unwrap_or(0)
     }
 
-    /// What this instance has at each target.
-    pub fn own_loads(&self) -> impl Iterator<Item = (&TargetId, Load)> {
+    /// Returns the load of this instance at each target.
+    pub fn local_loads(&self) -> impl Iterator<Item = (&TargetId, Load)> {
         self.in_flight.iter().map(|(target, requests)| {
             let load = Load {
                 requests: *requests,
@@ -287,20 +294,20 @@
         })
     }
 
-    /// A request goes to an engine; it waits there until it begins.
-    pub fn sent_prompt(&mut self, target: &TargetId, call: &Call, now: Time) -> WaitingKey {
+    /// Records a prompt that is sent to an engine and waits there until the engine starts it.
+    pub fn record_prompt(&mut self, target: &TargetId, call: &Call, now: Time) -> WaitingKey {
         let others = self.peers.load(ShortHash::of(target.as_str())).prompts;
         self.queues
             .sent(target, call.prompt.0, u64::from(others), now)
     }
 
-    /// A request goes to a target.
-    pub fn begin(&mut self, target: &TargetId) {
+    /// Records that a request is sent to a target.
+    pub fn start_request(&mut self, target: &TargetId) {
         *self.in_flight.entry(target.clone()).or_default() += 1;
     }
 
-    /// A request has left a target.
-    pub fn end(&mut self, target: &TargetId) {
+    /// Records that a request at a target has ended.
+    pub fn end_request(&mut self, target: &TargetId) {
         if let Some(count) = self.in_flight.get_mut(target) {
             *count -= 1;
             if *count == 0 {
@@ -309,12 +316,12 @@
         }
     }
 
-    /// A suspected request goes to a target.
-    pub fn begin_suspect(&mut self, target: &TargetId) {
+    /// Records that a suspected request is sent to a target.
+    pub fn start_suspect(&mut self, target: &TargetId) {
         *self.suspects_at.entry(target.clone()).or_default() += 1;
     }
 
-    /// A suspected request has left a target.
+    /// Records that a suspected request at a target has ended.
     pub fn end_suspect(&mut self, target: &TargetId) {
         if let Some(count) = self.suspects_at.get_mut(target) {
             *count -= 1;
@@ -324,7 +331,7 @@
         }
     }
 
-    /// Housekeeping; called a few times a second.
+    /// Removes outdated state. Called a few times a second.
     pub fn sweep(&mut self, now: Time) {
         self.registry.sweep(now);
         self.peers.sweep(now);
@@ -336,11 +343,12 @@
             self.quotas.close(&target);
         }
         self.residency.keep(|target| registry.get(target).is_some());
-        self.asked.retain(|_, (_, at)| now.since(*at) < ASKED_LASTS);
+        self.recent_engines
+            .retain(|_, (_, at)| now.since(*at) < ASKED_LASTS);
         self.queues.keep(|target| registry.get(target).is_some());
     }
 
-    /// Whether requests of this kind need an adapter loaded before they can run.
+    /// Returns the adapter that the request needs, if it needs one.
     #[must_use]
     pub fn adapter_of(call: &Call) -> Option<&super::adapter::AdapterKey> {
         match &call.wanted {
@@ -350,7 +358,7 @@
     }
 }
 
-/// The loader shard that an engine belongs to; never changes.
+/// Returns the loader shard of an engine, which never changes.
 #[must_use]
 pub fn shard_of(target: &TargetId) -> u8 {
     u8::try_from(name_hash(target.as_str()) % u64::from(SHARDS)).unwrap_or(0)
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of decisions share.
+//! Helpers for the tests of decisions.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -29,7 +29,7 @@
 
 pub const MODEL: &str = "base";
 
-/// The time so many milliseconds after an hour.
+/// Returns the time `ms` milliseconds after the first hour.
 pub fn at(ms: u64) -> Time {
     Time::from_millis(3_600_000 + ms)
 }
@@ -63,21 +63,21 @@
 pub fn peer(name: &str, heard: Time) -> Peer {
     Peer {
         member: member(name, "north"),
-        heard: Some(heard),
+        last_seen: Some(heard),
         seq: 1,
         uptime_ms: 0,
-        role: Role::Asks,
+        role: Role::Subscriber,
         ready: true,
-        store_answers: true,
+        store_reachable: true,
         config: Revision(1),
         targets: Revision(1),
         targets_digest: 0,
         versions: 0,
-        verdicts_digest: 0,
+        quarantine_digest: 0,
         in_flight: std::collections::HashMap::new(),
         loads: 0,
         waiting_loads: 0,
-        places: std::collections::HashMap::new(),
+        adapter_slots: std::collections::HashMap::new(),
         shards: vec![0, 1, 2, 3],
         claims: vec![0, 1, 2, 3],
     }
@@ -187,7 +187,7 @@
     }
 }
 
-/// Settings of an instance that registers itself as `member`.
+/// Returns the settings of an instance that registers itself as `member`.
 pub fn settings(member: Member) -> NodeSettings {
     NodeSettings {
         member,
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! A store in virtual time that falls silent, and an instance that follows it.
+//! A simulated store in virtual time with outages, and an instance that follows it.
 
 use std::ops::Range;
 use std::sync::{Arc, Mutex};
@@ -21,32 +21,32 @@
 
 use super::{member, settings};
 
-/// What the deployment adds to the wait of a watch before it gives the call up.
-const MARGIN: Duration = Duration::from_millis(800);
-/// How long the deployment waits for any other answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1_200);
-/// Time that an answer takes.
-const ANSWER: Duration = Duration::from_millis(8);
-/// Pause between looks for news while a watch waits.
-const LOOK: Duration = Duration::from_millis(5);
+/// Time that the deployment adds to the wait of a watch before it abandons the call.
+const WATCH_MARGIN: Duration = Duration::from_millis(800);
+/// Timeout of the deployment for all other calls.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time that a response takes.
+const RESPONSE_TIME: Duration = Duration::from_millis(8);
+/// Interval at which a waiting watch checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the store does in its silence with a call that begins then.
+/// What happens to a call that starts during an outage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trouble {
-    /// It never answers, also after its return.
-    Silent,
-    /// It refuses at once.
-    Busy,
+pub enum Fault {
+    /// The store never responds, even after its recovery.
+    Unresponsive,
+    /// The store rejects the call at once.
+    Rejecting,
 }
 
 #[derive(Debug)]
 struct Script {
     started: Instant,
-    trouble: Trouble,
-    away: Range<Duration>,
-    /// Kind, object and when the store takes it; the revision is the place in the list and one.
-    news: Vec<(Kind, Object, Duration)>,
-    told: Mutex<Vec<(Revision, Duration)>>,
+    fault: Fault,
+    outage: Range<Duration>,
+    /// Kind, object and the time at which the store accepts it. The revision is the index plus one.
+    changes: Vec<(Kind, Object, Duration)>,
+    sent: Mutex<Vec<(Revision, Duration)>>,
 }
 
 /// The store; clones share one script.
@@ -54,11 +54,11 @@
 pub struct ScriptedStore(Arc<Script>);
 
 impl ScriptedStore {
-    /// A store that is away for a span; times count from now.
+    /// Creates a store with an outage. Times count from now.
     pub fn new(
-        trouble: Trouble,
-        away: Range<Duration>,
-        news: Vec<(Kind, Content, Duration)>,
+        fault: Fault,
+        outage: Range<Duration>,
+        changes: Vec<(Kind, Content, Duration)>,
     ) -> Self {
         let object = |(idx, (kind, content, at)): (usize, (Kind, Content, Duration))| {
             let revision = Revision(u64::try_from(idx).unwrap() + 1);
@@ -76,61 +76,61 @@
         };
         Self(Arc::new(Script {
             started: Instant::now(),
-            trouble,
-            away,
-            news: news.into_iter().enumerate().map(object).collect(),
-            told: Mutex::default(),
+            fault,
+            outage,
+            changes: changes.into_iter().enumerate().map(object).collect(),
+            sent: Mutex::default(),
         }))
     }
 
-    /// When an answer first held the news of that revision.
-    pub fn told(&self, revision: Revision) -> Option<Duration> {
-        let told = self.0.told.lock().unwrap();
-        let mut told = told.iter().filter(|(of, _)| *of == revision);
-        told.next().map(|(_, at)| *at)
+    /// Returns when a response first contained the change of that revision.
+    pub fn first_sent(&self, revision: Revision) -> Option<Duration> {
+        let sent = self.0.sent.lock().unwrap();
+        let mut sent = sent.iter().filter(|(of, _)| *of == revision);
+        sent.next().map(|(_, at)| *at)
     }
 
     fn now(&self) -> Duration {
         self.0.started.elapsed()
     }
 
-    fn away(&self) -> bool {
-        self.0.away.contains(&self.now())
+    fn is_down(&self) -> bool {
+        self.0.outage.contains(&self.now())
     }
 
     fn listing(&self, kind: Kind, after: Revision) -> Listing {
         let now = self.now();
-        let taken = self.0.news.iter().filter(|(_, _, at)| *at <= now);
-        let revision = taken.clone().map(|(_, object, _)| object.revision).max();
-        let fresh = taken.filter(|(of, object, _)| *of == kind && object.revision > after);
-        let objects = fresh.map(|(_, object, _)| object.clone()).collect();
+        let accepted = self.0.changes.iter().filter(|(_, _, at)| *at <= now);
+        let revision = accepted.clone().map(|(_, object, _)| object.revision).max();
+        let matching = accepted.filter(|(of, object, _)| *of == kind && object.revision > after);
+        let objects = matching.map(|(_, object, _)| object.clone()).collect();
         Listing {
             objects,
             revision: revision.unwrap_or_default(),
         }
     }
 
-    async fn answer(&self, listing: Listing) -> Result<Listing, StoreError> {
-        tokio::time::sleep(ANSWER).await;
+    async fn respond(&self, listing: Listing) -> Result<Listing, StoreError> {
+        tokio::time::sleep(RESPONSE_TIME).await;
         let now = self.now();
-        let told = listing.objects.iter().map(|object| (object.revision, now));
-        self.0.told.lock().unwrap().extend(told);
+        let sent = listing.objects.iter().map(|object| (object.revision, now));
+        self.0.sent.lock().unwrap().extend(sent);
         Ok(listing)
     }
 
-    /// Ends a call that begins while the store is away as the deployment does.
-    async fn reach(&self, within: Duration) -> Result<(), StoreError> {
-        if !self.away() {
+    /// Fails a call that starts during the outage as the deployment does.
+    async fn fail_during_outage(&self, timeout: Duration) -> Result<(), StoreError> {
+        if !self.is_down() {
             return Ok(());
         }
-        match self.0.trouble {
-            Trouble::Busy => {
-                tokio::time::sleep(ANSWER).await;
+        match self.0.fault {
+            Fault::Rejecting => {
+                tokio::time::sleep(RESPONSE_TIME).await;
                 Err(StoreError::Refused(503))
             }
-            Trouble::Silent => {
-                tokio::time::sleep(within).await;
-                Err(StoreError::NoAnswer("silent".into()))
+            Fault::Unresponsive => {
+                tokio::time::sleep(timeout).await;
+                Err(StoreError::NoAnswer("no response".into()))
             }
         }
     }
@@ -138,8 +138,8 @@
 
 impl ObjectStore for ScriptedStore {
     async fn list(&self, kind: Kind) -> Result<Listing, StoreError> {
-        self.reach(ANSWER_WITHIN).await?;
-        self.answer(self.listing(kind, Revision::default())).await
+        self.fail_during_outage(RESPONSE_TIMEOUT).await?;
+        self.respond(self.listing(kind, Revision::default())).await
     }
 
     async fn watch(
@@ -148,23 +148,23 @@
         after: Revision,
         wait: Duration,
     ) -> Result<Listing, StoreError> {
-        self.reach(wait + MARGIN).await?;
-        let begun = Instant::now();
+        self.fail_during_outage(wait + WATCH_MARGIN).await?;
+        let started_at = Instant::now();
         loop {
             let listing = self.listing(kind, after);
-            let due = !listing.objects.is_empty() || begun.elapsed() >= wait;
-            if due && !self.away() {
-                return self.answer(listing).await;
+            let is_due = !listing.objects.is_empty() || started_at.elapsed() >= wait;
+            if is_due && !self.is_down() {
+                return self.respond(listing).await;
             }
-            if begun.elapsed() >= wait + MARGIN {
-                return Err(StoreError::NoAnswer("silent".into()));
+            if started_at.elapsed() >= wait + WATCH_MARGIN {
+                return Err(StoreError::NoAnswer("no response".into()));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn read(&self, _kind: Kind, _name: &str) -> Result<Option<Object>, StoreError> {
-        self.reach(ANSWER_WITHIN).await?;
+        self.fail_during_outage(RESPONSE_TIMEOUT).await?;
         Ok(None)
     }
 
@@ -175,54 +175,54 @@
         _at: Option<Revision>,
         _content: &Content,
     ) -> Result<Revision, StoreError> {
-        self.reach(ANSWER_WITHIN).await?;
+        self.fail_during_outage(RESPONSE_TIMEOUT).await?;
         Ok(Revision(1))
     }
 
     async fn remove(&self, _kind: Kind, _name: &str) -> Result<(), StoreError> {
-        self.reach(ANSWER_WITHIN).await
+        self.fail_during_outage(RESPONSE_TIMEOUT).await
     }
 }
 
-/// A deployment with nothing but a store.
+/// A deployment that has only a store.
 #[derive(Debug)]
 pub struct StoreOnly;
 
 impl Edge for StoreOnly {
-    type Protocol = NoCallers;
+    type Protocol = NoTraffic;
     type Store = ScriptedStore;
-    type Settings = Unchanging;
+    type Settings = FixedSettings;
 }
 
-/// Settings that stay.
+/// Settings that do not change.
 #[derive(Debug)]
-pub struct Unchanging(NodeSettings);
+pub struct FixedSettings(NodeSettings);
 
-impl SettingsSource for Unchanging {
+impl SettingsSource for FixedSettings {
     fn read(&self) -> Result<NodeSettings, GatewayError> {
         Ok(self.0.clone())
     }
 }
 
-/// Nobody calls, and no target is called.
+/// A protocol without callers and targets.
 #[derive(Debug)]
-pub struct NoCallers;
+pub struct NoTraffic;
 
-impl Protocol for NoCallers {
+impl Protocol for NoTraffic {
     fn call(&self, _head: &request::Parts) -> Result<Call, BadCall> {
-        unreachable!("nobody calls")
+        unreachable!("there are no callers")
     }
 
     fn forward_headers(&self, _head: &request::Parts, _forward: &Forward<'_>) -> HeaderMap {
-        unreachable!("nobody calls")
+        unreachable!("there are no callers")
     }
 
     fn answer_head(&self, _head: &response::Parts) -> AnswerHead {
-        unreachable!("no target is called")
+        unreachable!("there are no targets")
     }
 
     fn answer_headers(&self, _head: &response::Parts) -> HeaderMap {
-        unreachable!("no target is called")
+        unreachable!("there are no targets")
     }
 
     fn own_body(&self, _message: &str) -> Bytes {
@@ -230,7 +230,7 @@
     }
 
     fn report_request(&self, _target: &Target) -> Request<Bytes> {
-        unreachable!("no engine is known")
+        unreachable!("there are no engines")
     }
 
     fn report(&self, _body: &[u8]) -> Option<Report> {
@@ -244,11 +244,11 @@
         _holder: &str,
         _fencing: u64,
     ) -> Request<Bytes> {
-        unreachable!("no engine is known")
+        unreachable!("there are no engines")
     }
 
     fn order_answer(&self, _status: StatusCode) -> OrderAnswer {
-        unreachable!("no engine is known")
+        unreachable!("there are no engines")
     }
 
     fn is_resolve(&self, _head: &request::Parts) -> Option<Option<Box<str>>> {
@@ -274,7 +274,7 @@
     }
 }
 
-/// Runs an instance alone before a store for so long, in virtual time; `store` makes it.
+/// Runs a single instance with a store for a time span, in virtual time. `store` creates the store.
 pub fn follow_for(span: Duration, store: impl FnOnce() -> ScriptedStore) -> ScriptedStore {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -284,10 +284,10 @@
     runtime.block_on(async {
         let store = store();
         let settings = settings(member_on_any_port());
-        let source = Unchanging(settings.clone());
-        let running = run::<StoreOnly>(settings, source, NoCallers, store.clone());
-        let ended = tokio::time::timeout(span, running).await;
-        assert!(ended.is_err(), "the instance ended by itself: {ended:?}");
+        let source = FixedSettings(settings.clone());
+        let instance = run::<StoreOnly>(settings, source, NoTraffic, store.clone());
+        let ended = tokio::time::timeout(span, instance).await;
+        assert!(ended.is_err(), "the instance stopped by itself: {ended:?}");
         store
     })
 }
