--- a/crates/cli/src/commands/instance.rs
+++ b/crates/cli/src/commands/instance.rs
@@ -7,7 +7,7 @@
 use bluebellstage_gateway::decide::dump::{
     Dump, PeerDump, QuotaDump, Stage, StoreLink, StoreWaitDump, SuspectDump, TargetDump,
 };
-use bluebellstage_gateway::decide::health::Standing;
+use bluebellstage_gateway::decide::health::HealthState;
 use bluebellstage_gateway::decide::quarantine::Fingerprint;
 use bluebellstage_gateway::decide::status::Role;
 use reqwest::Client;
@@ -159,9 +159,9 @@
 
 fn write_target(out: &mut String, target: &TargetDump) -> std::fmt::Result {
     let standing = match target.standing {
-        Standing::Good => "",
-        Standing::Trial => "  on trial",
-        Standing::Ejected => "  ejected",
+        HealthState::Good => "",
+        HealthState::Trial => "  on trial",
+        HealthState::Ejected => "  ejected",
     };
     let leaving = if target.leaving { "  leaving" } else { "" };
     let limit = target.limit.map(|rate| format!("  takes {rate} a second"));
--- a/crates/gateway/src/decide/account.rs
+++ b/crates/gateway/src/decide/account.rs
@@ -1,28 +1,28 @@
-//! Whose budget is spent.
+//! Accounts that requests are charged to.
 
 use bluebellstage_core::{TargetId, WorkspaceId};
 
 use super::rendezvous::ShortHash;
 
-/// Whose budget all instances spend together.
+/// Account with a budget that all instances share.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Account {
-    /// A workspace's quota.
+    /// Quota of a workspace.
     Workspace(WorkspaceId),
-    /// What a limited target takes.
+    /// Limit of a target.
     Target(TargetId),
 }
 
-/// Stands before a target's name in its short hash, as a workspace may have the same name.
-const TARGET_SPACE: &str = "target\n";
+/// Prefix of a target's name in its short hash, as a workspace may have the same name.
+const TARGET_PREFIX: &str = "target\n";
 
 impl Account {
-    /// Its name in datagrams.
+    /// Returns the hash that identifies the account in datagrams.
     #[must_use]
     pub fn short(&self) -> ShortHash {
         match self {
             Self::Workspace(name) => ShortHash::of(name.as_str()),
-            Self::Target(id) => ShortHash::of(&format!("{TARGET_SPACE}{id}")),
+            Self::Target(id) => ShortHash::of(&format!("{TARGET_PREFIX}{id}")),
         }
     }
 }
--- a/crates/gateway/src/decide/adapter.rs
+++ b/crates/gateway/src/decide/adapter.rs
@@ -1,4 +1,4 @@
-//! Names of what an engine runs.
+//! Identifiers of the models and adapters that engines run.
 
 use std::fmt;
 
@@ -20,26 +20,26 @@
     }
 }
 
-/// An adapter in one of its versions.
+/// A version of an adapter.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct AdapterAt {
+pub struct VersionedAdapter {
     /// The adapter.
     pub key: AdapterKey,
     /// Version of its weights.
     pub version: AdapterVersion,
 }
 
-/// What a request wants to run on.
+/// Model or adapter that a request runs on.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Wanted {
-    /// The base model itself.
+pub enum RequestedModel {
+    /// A base model without an adapter.
     Base(BaseModel),
     /// An adapter.
     Adapter(AdapterKey),
 }
 
-impl Wanted {
-    /// The base model in either case.
+impl RequestedModel {
+    /// Returns the base model in either case.
     #[must_use]
     pub fn model(&self) -> &BaseModel {
         match self {
--- a/crates/gateway/src/decide/adapter_choice.rs
+++ b/crates/gateway/src/decide/adapter_choice.rs
@@ -1,169 +1,181 @@
-//! Picks the engine of a request on an adapter: one that holds it, or one that is to load it.
+//! Picks the engine for a request on an adapter: one that holds it, or one that should load it.
 
 use std::time::Duration;
 
 use bluebellstage_core::{AdapterVersion, TargetId};
 
 use super::adapter::AdapterKey;
-use super::placement::{Candidate, Known, Pick, send};
+use super::placement::{Candidate, Pick, PickContext, send_to};
 
-/// Copies of an adapter that are asked for at once when all that hold it are full: as many as there
-/// are, so that a hot one spreads over ten engines in a second.
-const MOST_NEW_COPIES: usize = 4;
-/// Time of a load from an engine's host memory.
+/// Maximum number of replicas of an adapter that are requested at once when all engines that hold
+/// it are full. As many are requested as exist, so a hot adapter spreads over ten engines within a
+/// second.
+const MAX_NEW_REPLICAS: usize = 4;
+/// Duration of a load from an engine's host memory.
 const LOAD_FROM_HOST: Duration = Duration::from_millis(27);
-/// What a load from the weight store counts as in the choice of an engine: the time that it takes, and
-/// as much again and more for the store's rate, which all engines share.
+/// Cost of a load from the weight store in the choice of an engine: its duration, and more than as
+/// much again because all engines share the weight store's load rate.
 const LOAD_FROM_STORE: Duration = Duration::from_secs(1);
-/// Time until a place for an adapter becomes free where all are in use.
-const PLACE_TURN: Duration = Duration::from_millis(250);
-/// Time by which an engine may be later than the best and still get the load, if it comes first in
-/// the adapter's order: that way all instances ask at one engine, and find its copies later.
-const WORTH_STAYING: Duration = Duration::from_millis(300);
-
-/// An adapter, its engines in the adapter's order, and what is known.
-struct Choice<'a, 'b> {
-    holders: &'a [&'a Candidate<'b>],
+/// Expected time until an adapter slot becomes free when all are in use.
+const SLOT_WAIT: Duration = Duration::from_millis(250);
+/// How much later than the best engine the first engine in the adapter's order may be and still get
+/// the load. This way all instances send their load requests to one engine, and later find its
+/// host-memory copies.
+const FIRST_ENGINE_TOLERANCE: Duration = Duration::from_millis(300);
+
+/// An adapter, the candidate engines in the adapter's order, and the selection context.
+struct AdapterPlacement<'a, 'b> {
+    engines: &'a [&'a Candidate<'b>],
     key: &'a AdapterKey,
-    known: &'a Known<'b>,
+    cx: &'a PickContext<'b>,
 }
 
-/// Picks among `holders` of the base model, in the adapter's order.
+/// Picks among `engines`, which hold the base model and are in the adapter's order.
 pub(super) fn pick_for_adapter(
-    holders: &[&Candidate<'_>],
+    engines: &[&Candidate<'_>],
     key: &AdapterKey,
-    known: &Known<'_>,
+    cx: &PickContext<'_>,
 ) -> Pick {
-    let choice = Choice {
-        holders,
-        key,
-        known,
-    };
-    choice.pick()
+    let placement = AdapterPlacement { engines, key, cx };
+    placement.pick()
 }
 
-impl<'a, 'b> Choice<'a, 'b> {
+impl<'a, 'b> AdapterPlacement<'a, 'b> {
     fn pick(&self) -> Pick {
-        let roomy = self
-            .residents()
-            .filter(|candidate| self.holds_newest(candidate))
-            .filter(|candidate| candidate.crowding(self.known) < 1.0)
+        let available = self
+            .resident_engines()
+            .filter(|candidate| self.has_newest(candidate))
+            .filter(|candidate| candidate.congestion(self.cx) < 1.0)
             .collect::<Vec<_>>();
-        if let Some(candidate) = self.draw_by_room(&roomy) {
+        if let Some(candidate) = self.choose_by_free_capacity(&available) {
             return self.send(candidate, Vec::new());
         }
-        let crowding = |candidate: &Candidate<'_>| candidate.crowding(self.known);
-        let emptiest = self
-            .residents()
-            .min_by(|a, b| crowding(a).total_cmp(&crowding(b)));
-        match emptiest.map(|candidate| (candidate, candidate.too_late(self.known))) {
-            Some((candidate, Duration::ZERO)) => self.send(candidate, self.places_for_copies()),
+        let congestion = |candidate: &Candidate<'_>| candidate.congestion(self.cx);
+        let least_congested = self
+            .resident_engines()
+            .min_by(|a, b| congestion(a).total_cmp(&congestion(b)));
+        match least_congested.map(|candidate| (candidate, candidate.excess_delay(self.cx))) {
+            Some((candidate, Duration::ZERO)) => self.send(candidate, self.replica_targets()),
             Some((_, excess)) => Pick::Late {
                 excess,
-                load_at: self.places_for_copies(),
+                load_at: self.replica_targets(),
             },
-            None => self.nearest_place().map_or(Pick::Full, Pick::Load),
+            None => self.best_load_target().map_or(Pick::Full, Pick::Load),
         }
     }
 
     fn send(&self, candidate: &Candidate<'_>, load_at: Vec<TargetId>) -> Pick {
-        send(candidate, self.version(candidate), load_at, self.known)
+        send_to(candidate, self.version(candidate), load_at, self.cx)
     }
 
-    /// The version that a request may begin on there.
+    /// Returns the resident version if a request may start on it.
     fn version(&self, candidate: &Candidate<'_>) -> Option<AdapterVersion> {
-        let known = self.known;
+        let cx = self.cx;
         let id = &candidate.target.id;
-        let version = known.residency.version(id, self.key, known.now)?;
-        let wait = candidate.wait.max(candidate.longest_wait);
-        let usable = known.versions.may_begin(self.key, version, wait, known.now);
+        let version = cx.residency.usable_version(id, self.key, cx.now)?;
+        let queue_wait = candidate.queue_wait.max(candidate.recent_max_wait);
+        let usable = cx.versions.may_begin(self.key, version, queue_wait, cx.now);
         usable.then_some(version)
     }
 
-    fn holds_newest(&self, candidate: &Candidate<'_>) -> bool {
+    fn has_newest(&self, candidate: &Candidate<'_>) -> bool {
         let version = self.version(candidate);
-        version.is_some_and(|version| self.known.versions.is_newest(self.key, version))
+        version.is_some_and(|version| self.cx.versions.is_newest(self.key, version))
     }
 
-    fn residents(&self) -> impl Iterator<Item = &'a Candidate<'b>> {
-        let open = self.holders.iter().copied();
-        let open = open.filter(|candidate| candidate.connectable);
+    fn resident_engines(&self) -> impl Iterator<Item = &'a Candidate<'b>> {
+        let open = self.engines.iter().copied();
+        let open = open.filter(|candidate| candidate.can_connect);
         open.filter(|candidate| self.version(candidate).is_some())
     }
 
-    /// Engines that can load it and don't hold it.
-    fn places(&self) -> impl Iterator<Item = &'a Candidate<'b>> {
-        let loadable = self.holders.iter().copied();
-        let loadable = loadable.filter(|candidate| candidate.loadable);
-        loadable.filter(|candidate| {
-            let known = self.known;
+    /// Returns the engines that can load the adapter and don't hold it.
+    fn load_targets(&self) -> impl Iterator<Item = &'a Candidate<'b>> {
+        let can_load = self.engines.iter().copied();
+        let can_load = can_load.filter(|candidate| candidate.can_load);
+        can_load.filter(|candidate| {
+            let cx = self.cx;
             let id = &candidate.target.id;
-            known.residency.version(id, self.key, known.now).is_none()
+            cx.residency.usable_version(id, self.key, cx.now).is_none()
         })
     }
 
-    /// Where further copies are to be loaded, as those that hold it are full.
-    fn places_for_copies(&self) -> Vec<TargetId> {
-        let copies = self.residents().count().clamp(1, MOST_NEW_COPIES);
-        let places = self.places();
-        let places = places.filter(|candidate| candidate.takes_another(self.known));
-        let ids = places.map(|candidate| candidate.target.id.clone());
-        let mut ids = ids.take(copies).collect::<Vec<_>>();
+    /// Returns the engines on which replicas should be loaded when those that hold the adapter are
+    /// full.
+    fn replica_targets(&self) -> Vec<TargetId> {
+        let max_replicas = self.resident_engines().count().clamp(1, MAX_NEW_REPLICAS);
+        let targets = self.load_targets();
+        let targets = targets.filter(|candidate| candidate.accepts_replica(self.cx));
+        let ids = targets.map(|candidate| candidate.target.id.clone());
+        let mut ids = ids.take(max_replicas).collect::<Vec<_>>();
         if ids.is_empty() {
-            let mut any = self.holders.iter().filter(|candidate| candidate.loadable);
+            let mut any = self.engines.iter().filter(|candidate| candidate.can_load);
             ids.extend(any.next().map(|candidate| candidate.target.id.clone()));
         }
         ids
     }
 
-    /// Where the adapter can be used soonest: the first in order that is not much later than the
-    /// best. Once it was asked for somewhere, that holds: each wish makes the place's queue longer,
-    /// and requests that changed their mind had it loaded at two engines.
-    fn nearest_place(&self) -> Option<TargetId> {
-        let mut asked = self.places();
-        if let Some(place) = asked.find(|place| self.known.asked == Some(&place.target.id)) {
-            return Some(place.target.id.clone());
+    /// Returns the engine on which the adapter can be used soonest: the first in order that is not
+    /// much later than the best one.
+    ///
+    /// An engine that was already chosen is kept, because each load request makes its queue longer:
+    /// requests that switched to another engine had the adapter loaded twice.
+    fn best_load_target(&self) -> Option<TargetId> {
+        let mut loadable = self.load_targets();
+        if let Some(candidate) =
+            loadable.find(|candidate| self.cx.load_requested_at == Some(&candidate.target.id))
+        {
+            return Some(candidate.target.id.clone());
         }
-        let best = self.places().map(|place| self.time_to_load(place)).min();
+        let best = self
+            .load_targets()
+            .map(|candidate| self.estimated_load_time(candidate))
+            .min();
         let Some(best) = best else {
-            let mut any = self.holders.iter().filter(|candidate| candidate.loadable);
+            let mut any = self.engines.iter().filter(|candidate| candidate.can_load);
             return any.next().map(|candidate| candidate.target.id.clone());
         };
-        let limit = best + WORTH_STAYING;
-        let mut places = self.places();
-        let first = places.find(|place| self.time_to_load(place) <= limit);
-        first.map(|place| place.target.id.clone())
+        let limit = best + FIRST_ENGINE_TOLERANCE;
+        let mut targets = self.load_targets();
+        let first = targets.find(|candidate| self.estimated_load_time(candidate) <= limit);
+        first.map(|candidate| candidate.target.id.clone())
     }
 
-    /// Time until the adapter could be used at a place, a load from the weight store counting more.
-    fn time_to_load(&self, candidate: &Candidate<'_>) -> Duration {
-        let residency = self.known.residency;
-        let places = candidate.places;
-        let copies = usize::from(places.copies);
-        let kept = residency.held_lately(&candidate.target.id, self.key, copies);
-        let load = if kept {
+    /// Estimates the time until the adapter can be used on an engine. A load from the weight store
+    /// costs more than its duration.
+    fn estimated_load_time(&self, candidate: &Candidate<'_>) -> Duration {
+        let residency = self.cx.residency;
+        let slots = candidate.adapter_slots;
+        let host_copies = usize::from(slots.host_copies);
+        let is_cached = residency.held_recently(&candidate.target.id, self.key, host_copies);
+        let load = if is_cached {
             LOAD_FROM_HOST
         } else {
             LOAD_FROM_STORE
         };
-        let before = (u32::from(places.waiting) + 1).saturating_sub(u32::from(places.free));
-        load + PLACE_TURN * before + candidate.wait
+        let slots_ahead =
+            (u32::from(slots.waiting_adapters) + 1).saturating_sub(u32::from(slots.free));
+        load + SLOT_WAIT * slots_ahead + candidate.queue_wait
     }
 
-    /// Draws one of the candidates, by their room.
+    /// Chooses a random candidate, weighted by free capacity.
     ///
-    /// What instances know of each other's requests is a fraction of a second old: were the first or
-    /// the emptiest engine taken, all instances would take the same one at once.
-    fn draw_by_room(&self, candidates: &[&'a Candidate<'b>]) -> Option<&'a Candidate<'b>> {
-        let room = |candidate: &Candidate<'_>| (1.0 - candidate.crowding(self.known)).max(0.01);
+    /// What instances know of each other's requests is a fraction of a second old: if the first or
+    /// the least loaded engine were taken, all instances would choose the same one at once.
+    fn choose_by_free_capacity(
+        &self,
+        candidates: &[&'a Candidate<'b>],
+    ) -> Option<&'a Candidate<'b>> {
+        let free_capacity =
+            |candidate: &Candidate<'_>| (1.0 - candidate.congestion(self.cx)).max(0.01);
         let total = candidates
             .iter()
-            .map(|candidate| room(candidate))
+            .map(|candidate| free_capacity(candidate))
             .sum::<f64>();
-        let mut left = self.known.draw * total;
+        let mut remaining = self.cx.sample * total;
         for candidate in candidates {
-            left -= room(candidate);
-            if left <= 0.0 {
+            remaining -= free_capacity(candidate);
+            if remaining <= 0.0 {
                 return Some(candidate);
             }
         }
--- a/crates/gateway/src/decide/call.rs
+++ b/crates/gateway/src/decide/call.rs
@@ -4,7 +4,7 @@
 
 use bluebellstage_core::{Tokens, WorkspaceId};
 
-use super::adapter::Wanted;
+use super::adapter::RequestedModel;
 use super::limits::Said;
 
 /// A caller's request, decoded once at the edge.
@@ -21,7 +21,7 @@
     /// The caller's key, if it sent one; never logged.
     pub key: Option<Box<str>>,
     /// What an engine is to run; none for plain services.
-    pub wanted: Option<Wanted>,
+    pub wanted: Option<RequestedModel>,
     /// Prompt tokens plus the longest answer; none: the workspace's plain charge applies.
     pub tokens: Option<Tokens>,
     /// Prompt tokens that an engine reads before the first event.
--- a/crates/gateway/src/decide/dump.rs
+++ b/crates/gateway/src/decide/dump.rs
@@ -7,7 +7,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use super::health::Standing;
+use super::health::HealthState;
 use super::kind::Kind;
 use super::limits::RequestRate;
 use super::quarantine::Fingerprint;
@@ -103,7 +103,7 @@
     /// Requests a second that it takes from all instances together, if it names a limit.
     pub limit: Option<RequestRate>,
     /// Whether it gets requests by its record.
-    pub standing: Standing,
+    pub standing: HealthState,
     /// Requests of all instances there, as far as known.
     pub in_flight: u32,
     /// Requests that it works on at once.
@@ -222,10 +222,10 @@
                 service: target.service.clone(),
                 leaving: target.leaving,
                 limit: self.limits.of(&target.id),
-                standing: self.health.standing(&target.id, now),
+                standing: self.health.state(&target.id, now),
                 in_flight: self.own_in_flight(&target.id) + others,
                 slots: target.slots,
-                adapters: self.residency.count(&target.id),
+                adapters: self.residency.adapter_count(&target.id),
             }
         });
         dumped.collect()
--- a/crates/gateway/src/decide/health.rs
+++ b/crates/gateway/src/decide/health.rs
@@ -1,4 +1,5 @@
-//! Judges targets by what requests met there; a good health check alone proves little.
+//! Tracks the health of targets from the outcomes of requests; a passing health check alone is not
+//! sufficient.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,132 +7,137 @@
 use bluebellstage_core::{TargetId, Time};
 use serde::{Deserialize, Serialize};
 
-/// What a request met at a target.
+/// Outcome of a request at a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Met {
-    /// An answer, or the first event of a stream, after this long.
+pub enum TargetOutcome {
+    /// A response, or the first event of a stream, after this time.
     Answer(Duration),
-    /// A failure of the target: broken off, wrong bytes, an error beyond what callers provoke.
+    /// A failure of the target: an interrupted response, wrong bytes, or an error that callers
+    /// can't provoke.
     Failure,
-    /// No connection.
+    /// No connection could be opened.
     Unreachable,
 }
 
-/// Share of failures, in the recent average, beyond which a target is left alone for a while.
+/// Failure rate, as a moving average, above which a target is ejected.
 ///
-/// Targets may fail one read in seven of their own accord; a failing one fails 2 in 5 and more.
-const EJECT_ABOVE: f64 = 0.5;
-/// Weight of the newest outcome in the average.
-const NEWEST: f64 = 0.2;
-/// Outcomes that are needed before a target is judged.
-const LEAST_OUTCOMES: u32 = 5;
-/// First ejection.
-const EJECT_FIRST: Duration = Duration::from_secs(1);
-/// Longest ejection; a target that was repaired is tried this much later at the latest.
-const EJECT_MOST: Duration = Duration::from_secs(4);
-/// Ejection of a target that takes no connection.
-const EJECT_UNREACHABLE: Duration = Duration::from_millis(700);
+/// Healthy targets may fail one read in seven; a failing target fails two in five or more.
+const MAX_FAILURE_RATE: f64 = 0.5;
+/// Weight of the newest outcome in the moving average.
+const NEWEST_WEIGHT: f64 = 0.2;
+/// Minimum number of outcomes before a target can be ejected for its failure rate.
+const MIN_OUTCOMES: u32 = 5;
+/// Duration of the first ejection.
+const INITIAL_EJECTION: Duration = Duration::from_secs(1);
+/// Maximum duration of an ejection; a repaired target is tried again after at most this time.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// Duration of an ejection of a target that accepts no connections.
+const UNREACHABLE_EJECTION: Duration = Duration::from_millis(700);
 
 #[derive(Debug, Default)]
 struct Record {
     outcomes: u32,
-    failing: f64,
+    failure_rate: f64,
     latency: f64,
     ejected_until: Time,
     ejections: u32,
-    probing: bool,
+    trial_in_progress: bool,
 }
 
-/// Records of all targets.
+/// Health records of all targets.
 #[derive(Debug, Default)]
 pub struct Health {
     records: HashMap<TargetId, Record>,
 }
 
-/// Whether a target may get a request.
+/// Whether a target may receive requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
-    /// Like any other.
+pub enum HealthState {
+    /// Receives requests normally.
     Good,
-    /// One request, as a trial.
+    /// Receives one request as a trial.
     Trial,
-    /// Not now.
+    /// Receives no requests for now.
     Ejected,
 }
 
 impl Health {
-    /// Takes in an outcome; true if the target is ejected by it.
-    pub fn met(&mut self, target: &TargetId, met: Met, now: Time) -> bool {
+    /// Records an outcome. Returns `true` if it ejects the target.
+    pub fn record_outcome(&mut self, target: &TargetId, outcome: TargetOutcome, now: Time) -> bool {
         let record = self.records.entry(target.clone()).or_default();
-        let was_trial = std::mem::take(&mut record.probing);
+        let was_trial = std::mem::take(&mut record.trial_in_progress);
         record.outcomes = record.outcomes.saturating_add(1);
-        let failed = if matches!(met, Met::Answer(_)) {
+        let failed = if matches!(outcome, TargetOutcome::Answer(_)) {
             0.0
         } else {
             1.0
         };
-        record.failing += NEWEST * (failed - record.failing);
-        match met {
-            Met::Answer(after) => {
-                let after = after.as_secs_f64();
-                record.latency += NEWEST * (after - record.latency);
+        record.failure_rate += NEWEST_WEIGHT * (failed - record.failure_rate);
+        match outcome {
+            TargetOutcome::Answer(elapsed) => {
+                let elapsed = elapsed.as_secs_f64();
+                record.latency += NEWEST_WEIGHT * (elapsed - record.latency);
                 if was_trial {
-                    record.failing = 0.0;
+                    record.failure_rate = 0.0;
                     record.ejections = record.ejections.saturating_sub(1);
                 }
                 false
             }
-            Met::Unreachable => {
-                record.ejected_until = now + EJECT_UNREACHABLE;
+            TargetOutcome::Unreachable => {
+                record.ejected_until = now + UNREACHABLE_EJECTION;
                 true
             }
-            Met::Failure => {
-                let judged = record.outcomes >= LEAST_OUTCOMES && record.failing > EJECT_ABOVE;
-                if judged || was_trial {
-                    let length = EJECT_FIRST * 2_u32.pow(record.ejections.min(2));
-                    record.ejected_until = now + length.min(EJECT_MOST);
+            TargetOutcome::Failure => {
+                let exceeds_failure_rate =
+                    record.outcomes >= MIN_OUTCOMES && record.failure_rate > MAX_FAILURE_RATE;
+                if exceeds_failure_rate || was_trial {
+                    let duration = INITIAL_EJECTION * 2_u32.pow(record.ejections.min(2));
+                    record.ejected_until = now + duration.min(MAX_EJECTION);
                     record.ejections += 1;
                 }
-                judged || was_trial
+                exceeds_failure_rate || was_trial
             }
         }
     }
 
-    /// Whether `target` may get a request.
+    /// Returns whether `target` may receive requests.
     #[must_use]
-    pub fn standing(&self, target: &TargetId, now: Time) -> Standing {
+    pub fn state(&self, target: &TargetId, now: Time) -> HealthState {
         let Some(record) = self.records.get(target) else {
-            return Standing::Good;
+            return HealthState::Good;
         };
         if record.ejected_until == Time::default() {
-            return Standing::Good;
+            return HealthState::Good;
         }
         if now < record.ejected_until {
-            return Standing::Ejected;
+            return HealthState::Ejected;
         }
-        match (record.failing > EJECT_ABOVE, record.probing) {
-            (false, _) => Standing::Good,
-            (true, false) => Standing::Trial,
-            (true, true) => Standing::Ejected,
+        match (
+            record.failure_rate > MAX_FAILURE_RATE,
+            record.trial_in_progress,
+        ) {
+            (false, _) => HealthState::Good,
+            (true, false) => HealthState::Trial,
+            (true, true) => HealthState::Ejected,
         }
     }
 
-    /// Notes that a trial is on its way.
-    pub fn trial(&mut self, target: &TargetId) {
+    /// Records that a trial has been sent.
+    pub fn start_trial(&mut self, target: &TargetId) {
         if let Some(record) = self.records.get_mut(target) {
-            record.probing = true;
+            record.trial_in_progress = true;
         }
     }
 
-    /// A trial ended without telling anything, as when its caller left.
-    pub fn trial_void(&mut self, target: &TargetId) {
+    /// Records that a trial ended without an outcome, for example because its caller disconnected.
+    pub fn cancel_trial(&mut self, target: &TargetId) {
         if let Some(record) = self.records.get_mut(target) {
-            record.probing = false;
+            record.trial_in_progress = false;
         }
     }
 
-    /// Recent time to an answer, in seconds; zero before the first.
+    /// Returns the moving average of the response time, in seconds; zero before the first response.
     #[must_use]
     pub fn latency(&self, target: &TargetId) -> f64 {
         self.records
@@ -139,8 +145,8 @@
             .map_or(0.0, |record| record.latency)
     }
 
-    /// Forgets targets that are gone.
-    pub fn keep(&mut self, present: impl Fn(&TargetId) -> bool) {
-        self.records.retain(|target, _| present(target));
+    /// Removes targets that no longer exist.
+    pub fn retain_targets(&mut self, is_present: impl Fn(&TargetId) -> bool) {
+        self.records.retain(|target, _| is_present(target));
     }
 }
--- a/crates/gateway/src/decide/lease.rs
+++ b/crates/gateway/src/decide/lease.rs
@@ -1,10 +1,10 @@
-//! The right to order loads on a shard of the engines: one instance at a time.
+//! Lease for ordering loads on a shard of the engines; one instance holds it at a time.
 //!
-//! The store's conditional writes arbitrate. A holder renews its lease object and acts only while
-//! the last renewal, counted from when it was sent, is younger than [`LEASE`]. Another instance
-//! takes over only after the object stood unchanged for longer than that; its conditional write
-//! makes the former holder's next renewal fail. Both sides measure with a clock that goes on in
-//! suspension.
+//! Conditional writes in the store arbitrate. A holder renews its lease object and acts only while
+//! its last renewal, counted from when it was sent, is younger than [`LEASE_DURATION`]. Another
+//! instance takes over only after the object has been unchanged for longer than that; its
+//! conditional write makes the former holder's next renewal fail. Both sides use a clock that
+//! includes time in suspension.
 
 use std::time::Duration;
 
@@ -13,128 +13,132 @@
 
 use super::rendezvous::ShortHash;
 
-/// Number of shards: as many instances at most order loads at once, and so much of the fleet waits
-/// when one of them dies.
+/// Number of shards: the maximum number of instances that order loads at the same time, and the
+/// inverse of the fraction of engines that wait when one of them dies.
 pub const SHARDS: u8 = 4;
-/// How long a renewal holds. Longer outlasts more outages of the store, in which nobody could take
-/// over; shorter lets a lost holder be replaced sooner.
-pub const LEASE: Duration = Duration::from_millis(5_500);
-/// Pause between renewals; each is a call that is paid for.
-pub const RENEW_EVERY: Duration = Duration::from_millis(1_700);
-/// How much longer than [`LEASE`] a taker watches: covers clocks that run apart and the time that
-/// an order is on its way.
-const TAKE_MARGIN: Duration = Duration::from_millis(200);
-/// Pause between looks at a lease that somebody else holds.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// How long a renewal is valid. A longer duration outlasts more store outages, during which nobody
+/// could take over; a shorter one replaces a lost holder sooner.
+pub const LEASE_DURATION: Duration = Duration::from_millis(5_500);
+/// Interval between renewals; each one is a billed store call.
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(1_700);
+/// How much longer than [`LEASE_DURATION`] another instance waits before it takes over: covers
+/// clocks that run at different rates and the time that an order is in transit.
+const TAKEOVER_MARGIN: Duration = Duration::from_millis(200);
+/// Interval at which a lease held by another instance is polled.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The lease object's content.
+/// Content of the lease object.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct LeaseRecord {
-    /// Who holds it; engines know the holder by this name.
+    /// Holder of the lease; engines identify the holder by this name.
     pub holder: InstanceId,
-    /// Grows with each new holder, so that targets and peers can tell a later one.
+    /// Fencing token: increases with each new holder, so that targets and peers can tell a later
+    /// holder.
     pub fencing: u64,
-    /// Grows with each renewal, so that each one changes the object.
+    /// Increases with each renewal, so that each renewal changes the object.
     pub renewal: u64,
-    /// The holder gave it up.
+    /// Whether the holder has released the lease.
     pub released: bool,
-    /// Lives of the shard's engines that began so long ago that no order to a former life can come
-    /// any more. Whoever takes over, or restarts, has not seen them begin and would keep places free
-    /// on each engine for them.
+    /// Incarnations of the shard's engines that started so long ago that no order to a previous
+    /// incarnation can arrive any more. An instance that takes over or restarts has not seen them
+    /// start, and would otherwise reserve slots on each engine for such orders.
     #[serde(default)]
     pub settled: Vec<ShortHash>,
 }
 
-/// What to do next about one shard's lease.
+/// Next action for a shard's lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseStep {
-    /// Nothing before this time.
+    /// Do nothing before this time.
     Sleep(Time),
     /// Read the lease object.
     Read,
-    /// Write this record, at this revision; none: create it.
+    /// Write this record at this revision; `None` creates the object.
     Write(LeaseRecord, Option<Revision>),
 }
 
-/// One shard's lease as seen by this instance.
+/// Lease of one shard as seen by this instance.
 #[derive(Debug)]
 pub struct ShardLease {
-    me: InstanceId,
+    local_instance: InstanceId,
     handover: Duration,
     state: State,
-    /// Settled lives that the next write tells.
+    /// Settled incarnations that the next write publishes.
     settled: Vec<ShortHash>,
-    /// The last that is known of the object is that this instance held it.
-    was_mine: bool,
-    quiet_until: Time,
-    next: Time,
+    /// Whether this instance held the object in its last known state.
+    was_held_locally: bool,
+    no_orders_before: Time,
+    next_step_at: Time,
 }
 
 #[derive(Clone, Debug)]
 enum State {
-    /// The object is unknown.
+    /// The object has not been read.
     Unread,
-    /// Somebody's record, unchanged since the time.
-    Seen {
+    /// A record of any holder, unchanged since this time.
+    Observed {
         record: Option<LeaseRecord>,
         revision: Option<Revision>,
         since: Time,
     },
-    /// Ours, renewed by a call that was sent at the time.
+    /// Held by this instance, and renewed by a call that was sent at this time.
     Held {
         record: LeaseRecord,
         revision: Revision,
-        renewed: Time,
+        renewed_at: Time,
     },
 }
 
 impl ShardLease {
-    /// A lease that is unknown yet. Two holders leave `handover` between their orders.
+    /// Creates a lease whose object has not been read. `handover` is the minimum time between the
+    /// orders of two holders.
     #[must_use]
-    pub fn new(me: InstanceId, handover: Duration) -> Self {
+    pub fn new(local_instance: InstanceId, handover: Duration) -> Self {
         Self {
-            me,
+            local_instance,
             handover,
             state: State::Unread,
             settled: Vec::new(),
-            was_mine: false,
-            quiet_until: Time::default(),
-            next: Time::default(),
+            was_held_locally: false,
+            no_orders_before: Time::default(),
+            next_step_at: Time::default(),
         }
     }
 
-    /// The fencing number to order with, while this instance may.
+    /// Returns the fencing token to send orders with, while this instance may send them.
     #[must_use]
     pub fn may_order(&self, now: Time) -> Option<u64> {
         match &self.state {
             State::Held {
-                record, renewed, ..
-            } if now.since(*renewed) < LEASE && now >= self.quiet_until => Some(record.fencing),
+                record, renewed_at, ..
+            } if now.since(*renewed_at) < LEASE_DURATION && now >= self.no_orders_before => {
+                Some(record.fencing)
+            }
             _ => None,
         }
     }
 
-    /// The lease is held, though orders may have to wait for the handover to pass.
+    /// Returns whether the lease is held; orders may still have to wait for the handover.
     #[must_use]
-    pub fn holds(&self, now: Time) -> bool {
-        matches!(&self.state, State::Held { renewed, .. } if now.since(*renewed) < LEASE)
+    pub fn is_held(&self, now: Time) -> bool {
+        matches!(&self.state, State::Held { renewed_at, .. } if now.since(*renewed_at) < LEASE_DURATION)
     }
 
-    /// Lives that were settled when the lease was written last; none unless it is held.
+    /// Returns the settled incarnations as of the last write; empty unless the lease is held.
     #[must_use]
     pub fn settled(&self) -> &[ShortHash] {
         match &self.state {
             State::Held { record, .. } => &record.settled,
-            State::Unread | State::Seen { .. } => &[],
+            State::Unread | State::Observed { .. } => &[],
         }
     }
 
-    /// The next write tells of these lives.
-    pub fn settle(&mut self, lives: Vec<ShortHash>) {
-        self.settled = lives;
+    /// Sets the settled incarnations that the next write publishes.
+    pub fn set_settled(&mut self, incarnations: Vec<ShortHash>) {
+        self.settled = incarnations;
     }
 
-    fn renewed(&self, record: &LeaseRecord) -> LeaseRecord {
+    fn renewal_of(&self, record: &LeaseRecord) -> LeaseRecord {
         LeaseRecord {
             renewal: record.renewal + 1,
             settled: self.settled.clone(),
@@ -142,30 +146,34 @@
         }
     }
 
-    /// What to do next. `wanted`: this instance is the one that should hold the lease.
+    /// Returns the next action. `wanted` says whether this instance should hold the lease.
     #[must_use]
     pub fn step(&self, wanted: bool, now: Time) -> LeaseStep {
-        if now < self.next {
-            return LeaseStep::Sleep(self.next);
+        if now < self.next_step_at {
+            return LeaseStep::Sleep(self.next_step_at);
         }
         match &self.state {
             State::Held {
                 record,
                 revision,
-                renewed,
+                renewed_at,
             } => {
-                let due = *renewed + RENEW_EVERY;
+                let due = *renewed_at + RENEW_INTERVAL;
                 if now < due {
                     return LeaseStep::Sleep(due);
                 }
-                LeaseStep::Write(self.renewed(record), Some(*revision))
+                LeaseStep::Write(self.renewal_of(record), Some(*revision))
+            }
+            State::Unread if !wanted && !self.was_held_locally => {
+                LeaseStep::Sleep(now + POLL_INTERVAL)
             }
-            State::Unread if !wanted && !self.was_mine => LeaseStep::Sleep(now + LOOK_EVERY),
             State::Unread => LeaseStep::Read,
-            State::Seen { record, .. } if !wanted && !self.is_mine(record.as_ref()) => {
-                LeaseStep::Sleep(now + LOOK_EVERY)
+            State::Observed { record, .. }
+                if !wanted && !self.names_local_instance(record.as_ref()) =>
+            {
+                LeaseStep::Sleep(now + POLL_INTERVAL)
             }
-            State::Seen {
+            State::Observed {
                 record,
                 revision,
                 since,
@@ -173,23 +181,24 @@
         }
     }
 
-    /// The record names this instance, in an earlier life or before a conflict; engines know both
-    /// as one holder, so it goes on without a pause.
-    fn is_mine(&self, record: Option<&LeaseRecord>) -> bool {
-        record.is_some_and(|record| record.holder == self.me)
+    /// Returns whether the record names this instance, from an earlier incarnation or before a
+    /// conflict. Engines treat both as the same holder, so it continues without a delay.
+    fn names_local_instance(&self, record: Option<&LeaseRecord>) -> bool {
+        record.is_some_and(|record| record.holder == self.local_instance)
     }
 
-    /// When this instance may claim a lease whose record stands unchanged since `since`.
+    /// Returns when this instance may claim a lease whose record is unchanged since `since`.
     ///
-    /// One that was given up is left alone for as long as its new holder could not order anyway: an
-    /// instance that restarts in place then goes on without a pause. Claimed at once, the engines of
-    /// a shard would load nothing for the handover with each planned restart of a holder.
-    fn free_from(&self, record: Option<&LeaseRecord>, since: Time) -> Time {
+    /// A released lease is left alone for as long as a new holder could not send orders anyway, so
+    /// that an instance that restarts in place continues without a delay. If it were claimed at
+    /// once, the engines of a shard would load nothing during the handover at each planned restart
+    /// of a holder.
+    fn claimable_from(&self, record: Option<&LeaseRecord>, since: Time) -> Time {
         match record {
             None => since,
-            Some(record) if record.holder == self.me => since,
+            Some(record) if record.holder == self.local_instance => since,
             Some(record) if record.released => since + self.handover,
-            Some(_) => since + LEASE + TAKE_MARGIN,
+            Some(_) => since + LEASE_DURATION + TAKEOVER_MARGIN,
         }
     }
 
@@ -200,12 +209,12 @@
         since: Time,
         now: Time,
     ) -> LeaseStep {
-        if now < self.free_from(record, since) {
+        if now < self.claimable_from(record, since) {
             return LeaseStep::Read;
         }
         let fencing = record.map_or(1, |record| record.fencing + 1);
         let claim = LeaseRecord {
-            holder: self.me.clone(),
+            holder: self.local_instance.clone(),
             fencing,
             renewal: 1,
             released: false,
@@ -214,70 +223,70 @@
         LeaseStep::Write(claim, revision)
     }
 
-    /// The object was read; none: there is none.
-    pub fn read(&mut self, found: Option<(LeaseRecord, Revision)>, now: Time) {
-        self.was_mine = false;
+    /// Records the object as read from the store; `None` if there is none.
+    pub fn record_read(&mut self, found: Option<(LeaseRecord, Revision)>, now: Time) {
+        self.was_held_locally = false;
         let (record, revision) = match found {
             Some((record, revision)) => (Some(record), Some(revision)),
             None => (None, None),
         };
         let unchanged = match &self.state {
-            State::Seen {
-                revision: before,
+            State::Observed {
+                revision: previous,
                 since,
                 ..
-            } if *before == revision => Some(*since),
+            } if *previous == revision => Some(*since),
             _ => None,
         };
         let since = unchanged.unwrap_or(now);
-        let free_from = self.free_from(record.as_ref(), since);
-        self.next = free_from.max(now).min(now + LOOK_EVERY);
-        self.state = State::Seen {
+        let claimable_from = self.claimable_from(record.as_ref(), since);
+        self.next_step_at = claimable_from.max(now).min(now + POLL_INTERVAL);
+        self.state = State::Observed {
             record,
             revision,
             since,
         };
     }
 
-    /// A write that was sent at `sent` took effect at `revision`.
-    pub fn wrote(&mut self, record: LeaseRecord, revision: Revision, sent: Time, now: Time) {
-        if let State::Seen {
-            record: Some(before),
+    /// Records that a write sent at `sent` took effect at `revision`.
+    pub fn record_write(&mut self, record: LeaseRecord, revision: Revision, sent: Time, now: Time) {
+        if let State::Observed {
+            record: Some(previous),
             since,
             ..
         } = &self.state
-            && before.holder != self.me
+            && previous.holder != self.local_instance
         {
-            // One that gave its lease up may have ordered until then; one that fell silent has not
-            // ordered since its last renewal, seen or not, expired.
-            let last_order = if before.released {
+            // A holder that released its lease may have sent orders until then; an unresponsive one
+            // has sent none since its last renewal, observed or not, expired.
+            let last_order = if previous.released {
                 *since
             } else {
-                *since + LEASE
+                *since + LEASE_DURATION
             };
-            self.quiet_until = last_order + self.handover;
+            self.no_orders_before = last_order + self.handover;
         }
-        self.was_mine = true;
+        self.was_held_locally = true;
         self.state = State::Held {
             record,
             revision,
-            renewed: sent,
+            renewed_at: sent,
         };
-        self.next = now;
+        self.next_step_at = now;
     }
 
-    /// A write conflicted with another one, or nobody knows whether it took effect.
-    pub fn write_failed(&mut self, conflict: bool, now: Time) {
-        let still_held = self.holds(now) && !conflict;
-        if !still_held {
+    /// Records that a write conflicted with another one, or that its result is unknown.
+    pub fn record_write_failure(&mut self, conflict: bool, now: Time) {
+        let is_still_held = self.is_held(now) && !conflict;
+        if !is_still_held {
             self.state = State::Unread;
         }
-        self.next = now + Duration::from_millis(if conflict { 100 } else { 300 });
+        self.next_step_at = now + Duration::from_millis(if conflict { 100 } else { 300 });
     }
 
-    /// The record that gives the lease up, if it is held.
+    /// Returns the record that releases the lease, if it is held.
     #[must_use]
-    pub fn release(&self, now: Time) -> Option<(LeaseRecord, Revision)> {
+    pub fn release_record(&self, now: Time) -> Option<(LeaseRecord, Revision)> {
         let State::Held {
             record, revision, ..
         } = &self.state
@@ -286,14 +295,14 @@
         };
         let released = LeaseRecord {
             released: true,
-            ..self.renewed(record)
+            ..self.renewal_of(record)
         };
-        self.holds(now).then_some((released, *revision))
+        self.is_held(now).then_some((released, *revision))
     }
 
-    /// The lease was given up, or is about to be: nothing is ordered any more.
-    pub fn forget(&mut self) {
-        self.was_mine = false;
+    /// Clears the lease after, or right before, its release: no more orders are sent.
+    pub fn clear(&mut self) {
+        self.was_held_locally = false;
         self.state = State::Unread;
     }
 }
--- a/crates/gateway/src/decide/loader/mod.rs
+++ b/crates/gateway/src/decide/loader/mod.rs
@@ -1,66 +1,68 @@
-//! Orders loads and unloads on one engine, for whoever holds the lease of its shard.
+//! Orders loads and unloads on one engine. Runs on the instance that holds the lease of the
+//! engine's shard.
 //!
-//! An engine counts the orders that it accepted, and each order names the count that it expects.
-//! So of two orders that were sent for the same count only one is carried out, however late; an
-//! order without an answer can't break the account of slots.
+//! An engine counts the orders that it has accepted, and each order names the count that it
+//! expects. Of two orders that expect the same count only one is carried out, however late it
+//! arrives, so an order without a response can't make the loader's view of the slots wrong.
 
-mod account;
-mod copies;
-mod entry;
+mod adapter_state;
+mod engine_state;
+mod host_copies;
+mod load_request;
 mod order;
-mod places;
-mod wish;
+mod slots;
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use bluebellstage_core::{AdapterVersion, BaseModel, Time};
 
-use self::copies::MOST_USED;
-use self::entry::{Coming, LateLoad, Resident, Use};
-pub use self::order::{Order, OrderAnswer, OrderKind, Report};
-pub use self::places::Places;
-use self::wish::Wish;
-use super::adapter::{AdapterAt, AdapterKey};
+use self::adapter_state::{AdapterUsage, PendingLoad, ResidentAdapter, UnansweredLoad};
+use self::host_copies::MAX_REMEMBERED_ADAPTERS;
+use self::load_request::LoadRequest;
+pub use self::order::{Order, OrderKind, OrderOutcome, Report};
+pub use self::slots::AdapterSlots;
+use super::adapter::{AdapterKey, VersionedAdapter};
 
-/// Adapters that an engine takes in at the same time.
-pub const MAX_COMING: usize = 4;
-/// Time until an adapter from the weight store can be used, as the engines state it; a little is
-/// added for the way there.
+/// Maximum number of adapters that an engine loads concurrently.
+pub const MAX_CONCURRENT_LOADS: usize = 4;
+/// Time until an adapter loaded from the weight store can be used, as the engines document it, plus
+/// a small margin for the network.
 const LOAD_FROM_STORE: Duration = Duration::from_millis(254);
-/// The same where the engine held it lately: a tenth of it.
+/// The same if the engine recently held the adapter: a tenth of the time.
 const LOAD_FROM_HOST: Duration = Duration::from_millis(27);
-/// Time after an expected arrival in which a request that finds the adapter missing only shows that
+/// Span after an expected arrival in which a request that finds the adapter missing only shows that
 /// the load takes longer than expected.
-const LATE_ARRIVAL: Duration = Duration::from_millis(1_500);
-/// Pause before a late adapter is expected again.
-const LATE_PAUSE: Duration = Duration::from_millis(50);
-/// Pause after a refusal before the engine's report is read: reports lag a tenth of a second.
+const LATE_ARRIVAL_GRACE: Duration = Duration::from_millis(1_500);
+/// Delay until a late adapter is expected again.
+const LATE_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Delay after a rejected order before the engine's report is read: reports lag by a tenth of a
+/// second.
 const REPORT_LAG: Duration = Duration::from_millis(130);
-/// Longest time after which an order without an answer is carried out, by the users' sheet of
-/// disruptions, and a little more.
-pub const LATE_ORDER: Duration = Duration::from_secs(13);
-/// One slot in so many is kept free while loads of the engine's former life may come of which this
-/// instance knows nothing: a holder that died took the list of its unanswered orders along. An
-/// engine that such a load overfills crashes. Several of them come one after the other only if each
-/// names the engine's very count.
-const UNKNOWN_PART: usize = 8;
-/// Least such slots: of two late loads one after the other the second may come before the first one
-/// shows in a report.
-const LEAST_UNKNOWN: usize = 2;
-/// Age of the last proof of the account after which the report is read again while late loads may
-/// come. Nobody hears of them, and an engine that takes no other order would be filled by them one
-/// by one.
-const PROVE_EVERY: Duration = Duration::from_millis(250);
-/// Pause before another try when nothing can be evicted.
-const FULL_PAUSE: Duration = Duration::from_millis(150);
+/// Maximum delay after which an order without a response is still carried out, as documented in the
+/// users' list of disruptions, plus a small margin.
+pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(13);
+/// One in this many slots is reserved while loads of the engine's previous incarnation may still be
+/// carried out that this instance knows nothing of: the list of unanswered orders is lost with the
+/// holder that sent them. An engine that such a load overfills crashes. Several of these loads take
+/// effect one after the other only if each expects exactly the engine's current count.
+const SLOTS_PER_RESERVED_SLOT: usize = 8;
+/// Minimum number of reserved slots: of two consecutive late loads the second may take effect
+/// before the first one shows in a report.
+const MIN_RESERVED_SLOTS: usize = 2;
+/// Maximum age of the last confirmation of the engine's state while late loads may be carried out;
+/// the report is read again after it. Nothing else announces late loads, and without other orders
+/// they would fill the engine one by one.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(250);
+/// Delay before the next attempt when no adapter can be evicted.
+const EVICTION_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// What to do next for an engine.
+/// Next action for an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LoadStep {
     /// Nothing to do.
     Idle,
-    /// Look again at this time.
+    /// Call [`Loader::step`] again at this time.
     Wait(Time),
     /// Read the engine's report.
     Read,
@@ -68,336 +70,383 @@
     Send(Order),
 }
 
-/// The loader of one engine.
+/// Tracks the adapters of one engine and decides which to load and evict.
 #[derive(Debug)]
 pub struct Loader {
     slots: usize,
     accepted: Option<u64>,
-    /// Least count that a report must show to be newer than what is known.
-    least: u64,
-    /// Since when reports show less.
+    /// Minimum count that a report must show to be newer than the known state.
+    min_accepted: u64,
+    /// Time since which reports have shown a lower count.
     stale_since: Option<Time>,
-    resident: HashMap<AdapterKey, Resident>,
-    coming: HashMap<AdapterKey, Coming>,
-    wishes: HashMap<AdapterKey, Wish>,
-    used: HashMap<AdapterKey, Use>,
-    model_wanted: Option<BaseModel>,
+    resident: HashMap<AdapterKey, ResidentAdapter>,
+    pending_loads: HashMap<AdapterKey, PendingLoad>,
+    load_requests: HashMap<AdapterKey, LoadRequest>,
+    usage: HashMap<AdapterKey, AdapterUsage>,
+    requested_model: Option<BaseModel>,
     not_before: Time,
-    must_read: bool,
-    /// When its report was last believed.
-    read: Time,
-    /// When the engine last proved the account, by a report or by taking an order.
-    proved: Time,
-    /// Until then loads may come that another holder ordered in the engine's former life.
-    unknown_until: Time,
-    /// Loads without an answer in this life of the engine.
-    late: Vec<LateLoad>,
-    /// The same from its former life.
-    late_before: Vec<LateLoad>,
-    /// Orders without an answer since the last one with one.
-    unanswered: u32,
-    /// Adapters, those in its slots included, of which the engine is taken to keep copies in host
-    /// memory: a later load of one is ten times as quick.
-    copies: usize,
+    must_read_report: bool,
+    /// Time of the last report that was accepted as current.
+    last_report_at: Time,
+    /// Time at which the engine last confirmed the loader's view, by a report or by accepting an
+    /// order.
+    last_confirmed_at: Time,
+    /// Until this time, loads ordered by another holder in the engine's previous incarnation may be
+    /// carried out.
+    unknown_loads_until: Time,
+    /// Loads without a response in the engine's current incarnation.
+    unanswered_loads: Vec<UnansweredLoad>,
+    /// Loads without a response in its previous incarnations.
+    previous_unanswered_loads: Vec<UnansweredLoad>,
+    /// Number of orders without a response since the last one that got one.
+    consecutive_unanswered: u32,
+    /// Estimated number of adapters, including those in its slots, that the engine keeps copies of
+    /// in host memory. Loading one of these again is ten times as fast.
+    host_copies: usize,
     changed: bool,
 }
 
 impl Loader {
-    /// A loader for an engine with room for `slots` adapters.
+    /// Creates a loader for an engine with `slots` adapter slots.
     #[must_use]
     pub fn new(slots: usize) -> Self {
         Self {
             slots,
             accepted: None,
-            least: 0,
+            min_accepted: 0,
             stale_since: None,
             resident: HashMap::new(),
-            coming: HashMap::new(),
-            wishes: HashMap::new(),
-            used: HashMap::new(),
-            model_wanted: None,
+            pending_loads: HashMap::new(),
+            load_requests: HashMap::new(),
+            usage: HashMap::new(),
+            requested_model: None,
             not_before: Time::default(),
-            must_read: false,
-            read: Time::default(),
-            proved: Time::default(),
-            unknown_until: Time::default(),
-            late: Vec::new(),
-            late_before: Vec::new(),
-            unanswered: 0,
-            copies: MOST_USED,
+            must_read_report: false,
+            last_report_at: Time::default(),
+            last_confirmed_at: Time::default(),
+            unknown_loads_until: Time::default(),
+            unanswered_loads: Vec::new(),
+            previous_unanswered_loads: Vec::new(),
+            consecutive_unanswered: 0,
+            host_copies: MAX_REMEMBERED_ADAPTERS,
             changed: false,
         }
     }
 
-    /// Takes into account when the engine's present life was first seen.
+    /// Sets when the engine's current incarnation was first seen.
     #[must_use]
-    pub fn in_life_since(mut self, since: Time) -> Self {
-        self.unknown_until = since + LATE_ORDER;
+    pub fn with_incarnation_since(mut self, since: Time) -> Self {
+        self.unknown_loads_until = since + MAX_ORDER_DELAY;
         self
     }
 
-    /// Keeps slots for loads that were ordered in the engine's former life.
+    /// Reserves slots for unanswered loads that were ordered in the engine's previous incarnation.
     #[must_use]
-    pub fn after(mut self, former: &Self) -> Self {
-        self.late_before = former
-            .late
+    pub fn with_previous_incarnation(mut self, previous: &Self) -> Self {
+        self.previous_unanswered_loads = previous
+            .unanswered_loads
             .iter()
-            .chain(&former.late_before)
+            .chain(&previous.previous_unanswered_loads)
             .copied()
             .collect();
         self
     }
 
-    /// Slots that are kept for loads of the former life that may yet come.
-    fn kept_slots(&self, accepted: u64, now: Time) -> usize {
+    /// Returns the number of slots reserved for loads of previous incarnations that may still be
+    /// carried out.
+    fn reserved_slots(&self, accepted: u64, now: Time) -> usize {
         let mut counts = self
-            .late_before
+            .previous_unanswered_loads
             .iter()
-            .filter(|late| late.until > now && late.expected >= accepted)
-            .map(|late| late.expected)
+            .filter(|load| load.expires_at > now && load.expected_accepted >= accepted)
+            .map(|load| load.expected_accepted)
             .collect::<Vec<_>>();
         counts.sort_unstable();
         counts.dedup();
-        let unknown = if now < self.unknown_until {
-            self.slots.div_ceil(UNKNOWN_PART).max(LEAST_UNKNOWN)
+        let unknown = if now < self.unknown_loads_until {
+            self.slots
+                .div_ceil(SLOTS_PER_RESERVED_SLOT)
+                .max(MIN_RESERVED_SLOTS)
         } else {
             0
         };
         counts.len().max(unknown).min(self.slots / 2)
     }
 
-    /// A request wants `key`, at `version` or newer.
-    pub fn wish(&mut self, key: AdapterKey, version: Option<AdapterVersion>, now: Time) {
-        let wish = self.wishes.entry(key).or_insert_with(|| Wish::new(now));
-        wish.uttered(version, now);
+    /// Records that a request waits for `key` at `version` or newer.
+    pub fn request_load(&mut self, key: AdapterKey, version: Option<AdapterVersion>, now: Time) {
+        let request = self
+            .load_requests
+            .entry(key)
+            .or_insert_with(|| LoadRequest::new(now));
+        request.record_repeat(version, now);
     }
 
-    /// The engine lacks its base model.
-    pub fn wish_model(&mut self, model: BaseModel) {
-        self.model_wanted = Some(model);
+    /// Requests a load of the base model, which the engine lacks.
+    pub fn request_model_load(&mut self, model: BaseModel) {
+        self.requested_model = Some(model);
     }
 
-    /// A request was sent to `key` on this engine.
-    pub fn begun(&mut self, key: &AdapterKey, now: Time) {
-        self.touch(key, now).open += 1;
+    /// Records that a request on `key` was sent to this engine.
+    pub fn request_started(&mut self, key: &AdapterKey, now: Time) {
+        self.record_use(key, now).open_count += 1;
     }
 
-    /// A request that was sent to `key` is over.
-    pub fn ended(&mut self, key: &AdapterKey, now: Time) {
-        let used = self.touch(key, now);
-        used.open = used.open.saturating_sub(1);
-        let proof = self.resident.get_mut(key);
-        if let Some(rank) = proof.and_then(|held| held.from_copy.take()) {
-            self.had_copy(rank);
+    /// Records that a request on `key` has ended.
+    pub fn request_ended(&mut self, key: &AdapterKey, now: Time) {
+        let usage = self.record_use(key, now);
+        usage.open_count = usage.open_count.saturating_sub(1);
+        let resident = self.resident.get_mut(key);
+        if let Some(rank) = resident.and_then(|adapter| adapter.assumed_copy_rank.take()) {
+            self.record_copy_hit(rank);
         }
     }
 
-    fn touch(&mut self, key: &AdapterKey, now: Time) -> &mut Use {
-        let used = self
-            .used
-            .entry(key.clone())
-            .or_insert(Use { last: now, open: 0 });
-        used.last = now;
-        used
+    fn record_use(&mut self, key: &AdapterKey, now: Time) -> &mut AdapterUsage {
+        let usage = self.usage.entry(key.clone()).or_insert(AdapterUsage {
+            last_used: now,
+            open_count: 0,
+        });
+        usage.last_used = now;
+        usage
     }
 
-    fn leaves(&self, key: &AdapterKey) -> bool {
-        self.resident.get(key).is_some_and(|held| held.leaves)
+    fn is_unloading(&self, key: &AdapterKey) -> bool {
+        self.resident
+            .get(key)
+            .is_some_and(|adapter| adapter.unloading)
     }
 
-    fn busy(&self, key: &AdapterKey, now: Time) -> bool {
-        self.used.get(key).is_some_and(|used| used.busy(now))
+    fn is_busy(&self, key: &AdapterKey, now: Time) -> bool {
+        self.usage.get(key).is_some_and(|usage| usage.is_busy(now))
     }
 
-    /// A request found `key` missing on this engine.
-    pub fn missing(&mut self, key: &AdapterKey, now: Time) {
+    /// Records that a request found `key` missing on this engine.
+    pub fn adapter_missing(&mut self, key: &AdapterKey, now: Time) {
         let Some(resident) = self.resident.get_mut(key) else {
             return;
         };
         self.changed = true;
-        let lacked_copy = resident.from_copy.take();
-        let first_time = !std::mem::replace(&mut resident.doubted, true);
-        if first_time && now.since(resident.since) < LATE_ARRIVAL {
-            resident.usable_from = now + LATE_PAUSE;
+        let missed_rank = resident.assumed_copy_rank.take();
+        let first_time = !std::mem::replace(&mut resident.reported_missing, true);
+        if first_time && now.since(resident.since) < LATE_ARRIVAL_GRACE {
+            resident.usable_from = now + LATE_RETRY_DELAY;
         } else {
-            // It may be there in another version, so it goes on taking a slot until the engine
-            // tells; an order that is answered meanwhile must not make up for the reading.
+            // It may be present in another version, so it takes its slot until the next report. The
+            // report must be read even if an order is answered meanwhile.
             resident.usable_from = Time(u64::MAX);
-            self.must_read = true;
+            self.must_read_report = true;
         }
-        if let Some(rank) = lacked_copy {
-            self.lacked_copy(rank);
+        if let Some(rank) = missed_rank {
+            self.record_copy_miss(rank);
         }
     }
 
-    /// Adapters that can be used now.
+    /// Returns the adapters that can be used now.
     #[must_use]
-    pub fn holdings(&self, now: Time) -> Vec<AdapterAt> {
+    pub fn usable_adapters(&self, now: Time) -> Vec<VersionedAdapter> {
         let usable = self
             .resident
             .iter()
-            .filter(|(_, held)| held.usable_from <= now);
+            .filter(|(_, adapter)| adapter.usable_from <= now);
         usable
-            .map(|(key, held)| AdapterAt {
+            .map(|(key, adapter)| VersionedAdapter {
                 key: key.clone(),
-                version: held.version,
+                version: adapter.version,
             })
             .collect()
     }
 
-    /// Whether the holdings changed since this was last asked.
+    /// Returns whether the resident adapters have changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Loads from the weight store that are under way.
+    /// Returns the number of loads from the weight store in progress.
     #[must_use]
-    pub fn loading(&self) -> usize {
-        let coming = self.coming.values();
-        coming.filter(|coming| coming.from_store).count()
+    pub fn store_loads_in_progress(&self) -> usize {
+        let pending = self.pending_loads.values();
+        pending.filter(|pending| pending.from_store).count()
     }
 
-    /// Adapters that are wanted and not on their way.
+    /// Returns the number of requested adapters whose load has not started.
     #[must_use]
-    pub fn waiting(&self) -> usize {
-        let open = self.wishes.keys();
-        open.filter(|key| !self.coming.contains_key(*key)).count()
+    pub fn waiting_adapters(&self) -> usize {
+        let open = self.load_requests.keys();
+        open.filter(|key| !self.pending_loads.contains_key(*key))
+            .count()
     }
 
-    /// What to do next. `newest` tells the newest version of an adapter, where it has had several;
-    /// `store_free`: another load from the weight store keeps full speed.
+    /// Returns the next action. `newest` returns the newest version of an adapter if more than one
+    /// is known; `store_free` says whether the weight store can take another load without slowing
+    /// down the others.
     pub fn step(
         &mut self,
         newest: impl Fn(&AdapterKey) -> Option<AdapterVersion>,
         store_free: bool,
         now: Time,
     ) -> LoadStep {
-        self.arrive(&newest, now);
-        self.wishes.retain(|_, wish| wish.is_alive(now));
+        self.complete_loads(&newest, now);
+        self.load_requests
+            .retain(|_, request| request.is_active(now));
         if now < self.not_before {
             return LoadStep::Wait(self.not_before);
         }
-        let Some(expected) = self.accepted.filter(|_| !self.must_read) else {
+        let Some(expected_accepted) = self.accepted.filter(|_| !self.must_read_report) else {
             return LoadStep::Read;
         };
-        let kept = self.kept_slots(expected, now);
-        if kept > 0 && now.since(self.proved) > PROVE_EVERY {
+        let reserved = self.reserved_slots(expected_accepted, now);
+        if reserved > 0 && now.since(self.last_confirmed_at) > MAX_CONFIRMATION_AGE {
             return LoadStep::Read;
         }
-        let leaving = self.resident.values().any(|held| held.leaves);
-        if leaving && now.since(self.read) > PROVE_EVERY {
+        let has_unloading = self.resident.values().any(|adapter| adapter.unloading);
+        if has_unloading && now.since(self.last_report_at) > MAX_CONFIRMATION_AGE {
             return LoadStep::Read;
         }
-        self.wake_late(now);
-        let slots = self.slots - kept;
-        if self.resident.len() + self.coming.len() > slots {
-            // A late load has taken a kept slot; the next one would be too many.
-            return self.evict(expected, now);
+        self.retry_late_adapters(now);
+        let slots = self.slots - reserved;
+        if self.resident.len() + self.pending_loads.len() > slots {
+            // A late load has taken a reserved slot; another one would overfill the engine.
+            return self.evict(expected_accepted, now);
         }
-        if let Some(model) = self.model_wanted.take() {
-            let what = OrderKind::LoadModel(model);
-            return LoadStep::Send(Order { what, expected });
+        if let Some(model) = self.requested_model.take() {
+            let kind = OrderKind::LoadModel(model);
+            return LoadStep::Send(Order {
+                kind,
+                expected_accepted,
+            });
         }
-        let Some(key) = self.next_wish(now) else {
-            return self.earliest_arrival();
+        let Some(key) = self.next_load_request(now) else {
+            return self.next_arrival();
         };
-        if self.coming.len() >= MAX_COMING || (!store_free && !self.has_copy(&key)) {
-            return match self.earliest_arrival() {
+        if self.pending_loads.len() >= MAX_CONCURRENT_LOADS
+            || (!store_free && !self.has_host_copy(&key))
+        {
+            return match self.next_arrival() {
                 LoadStep::Idle => LoadStep::Wait(now + Duration::from_millis(20)),
                 step => step,
             };
         }
-        if self.leaves(&key) {
-            self.must_read = true;
+        if self.is_unloading(&key) {
+            self.must_read_report = true;
             return LoadStep::Wait(now + REPORT_LAG);
         }
         if self.resident.contains_key(&key) {
-            // An older version makes way first: the engine may count both while it replaces.
-            let what = OrderKind::UnloadAdapter(key);
-            return LoadStep::Send(Order { what, expected });
+            // The old version is unloaded first: the engine may count both versions during a
+            // replacement.
+            let kind = OrderKind::UnloadAdapter(key);
+            return LoadStep::Send(Order {
+                kind,
+                expected_accepted,
+            });
         }
-        if self.resident.len() + self.coming.len() >= slots {
-            return self.evict(expected, now);
+        if self.resident.len() + self.pending_loads.len() >= slots {
+            return self.evict(expected_accepted, now);
         }
-        let version = newest(&key).max(self.wishes.get(&key).and_then(|wish| wish.version));
-        let what = OrderKind::LoadAdapter(key, version);
-        LoadStep::Send(Order { what, expected })
+        let version = newest(&key).max(
+            self.load_requests
+                .get(&key)
+                .and_then(|request| request.version),
+        );
+        let kind = OrderKind::LoadAdapter(key, version);
+        LoadStep::Send(Order {
+            kind,
+            expected_accepted,
+        })
     }
 
-    fn earliest_arrival(&self) -> LoadStep {
-        let ready = self.coming.values().map(|coming| coming.ready);
-        let late = self.resident.values().map(|held| held.usable_from);
+    fn next_arrival(&self) -> LoadStep {
+        let ready_at = self.pending_loads.values().map(|pending| pending.ready_at);
+        let late = self.resident.values().map(|adapter| adapter.usable_from);
         let late = late.filter(|at| *at != Time::default());
-        let ready = ready.chain(late).min();
-        ready.map_or(LoadStep::Idle, LoadStep::Wait)
+        let ready_at = ready_at.chain(late).min();
+        ready_at.map_or(LoadStep::Idle, LoadStep::Wait)
     }
 
-    /// Late adapters become usable again after their pause.
-    fn wake_late(&mut self, now: Time) {
+    /// Makes late adapters usable again after their delay.
+    fn retry_late_adapters(&mut self, now: Time) {
         let late = self
             .resident
             .values_mut()
-            .filter(|held| held.usable_from != Time::default() && held.usable_from <= now);
-        for held in late {
-            held.usable_from = Time::default();
+            .filter(|adapter| adapter.usable_from != Time::default() && adapter.usable_from <= now);
+        for adapter in late {
+            adapter.usable_from = Time::default();
             self.changed = true;
         }
     }
 
-    fn arrive(&mut self, newest: &impl Fn(&AdapterKey) -> Option<AdapterVersion>, now: Time) {
-        let arrived = self.coming.iter().filter(|(_, coming)| coming.ready <= now);
+    fn complete_loads(
+        &mut self,
+        newest: &impl Fn(&AdapterKey) -> Option<AdapterVersion>,
+        now: Time,
+    ) {
+        let arrived = self
+            .pending_loads
+            .iter()
+            .filter(|(_, pending)| pending.ready_at <= now);
         let arrived = arrived
-            .map(|(key, coming)| (key.clone(), *coming))
+            .map(|(key, pending)| (key.clone(), *pending))
             .collect::<Vec<_>>();
-        for (key, coming) in arrived {
-            self.coming.remove(&key);
-            let version = coming.version.or_else(|| newest(&key));
-            let mut resident = Resident::new(version.unwrap_or(AdapterVersion(1)), now);
-            if !coming.from_store {
-                resident.from_copy = self.copy_rank(&key);
+        for (key, pending) in arrived {
+            self.pending_loads.remove(&key);
+            let version = pending.version.or_else(|| newest(&key));
+            let mut resident = ResidentAdapter::new(version.unwrap_or(AdapterVersion(1)), now);
+            if !pending.from_store {
+                resident.assumed_copy_rank = self.recency_rank(&key);
             }
-            self.touch(&key, now);
+            self.record_use(&key, now);
             self.resident.insert(key, resident);
             self.changed = true;
         }
-        let satisfied = |key: &AdapterKey, wish: &Wish| {
-            self.resident
-                .get(key)
-                .is_some_and(|held| wish.version.is_none_or(|wanted| held.version >= wanted))
+        let satisfied = |key: &AdapterKey, request: &LoadRequest| {
+            self.resident.get(key).is_some_and(|adapter| {
+                request
+                    .version
+                    .is_none_or(|wanted| adapter.version >= wanted)
+            })
         };
-        self.wishes.retain(|key, wish| !satisfied(key, wish));
+        self.load_requests
+            .retain(|key, request| !satisfied(key, request));
     }
 
-    /// The wish that most requests wait for, the oldest among equals; a new version waits until the
-    /// old one is idle.
+    /// Returns the adapter that most requests wait for, the one requested first on a tie. A new
+    /// version waits until the old one is idle.
     ///
-    /// After a cold start every adapter is missing, and loads are queued for seconds: one for a hot
+    /// After a cold start every adapter is missing and loads queue up for seconds; loading a hot
     /// adapter serves many requests.
-    fn next_wish(&self, now: Time) -> Option<AdapterKey> {
+    fn next_load_request(&self, now: Time) -> Option<AdapterKey> {
         let open = self
-            .wishes
+            .load_requests
             .iter()
-            .filter(|(key, _)| !self.coming.contains_key(*key))
-            .filter(|(key, _)| !(self.resident.contains_key(*key) && self.busy(key, now)));
-        let most = open.max_by_key(|(_, wish)| (wish.waiting(), std::cmp::Reverse(wish.first)));
-        most.map(|(key, _)| key.clone())
+            .filter(|(key, _)| !self.pending_loads.contains_key(*key))
+            .filter(|(key, _)| !(self.resident.contains_key(*key) && self.is_busy(key, now)));
+        let most_requested = open.max_by_key(|(_, request)| {
+            (
+                request.estimated_requests(),
+                std::cmp::Reverse(request.first_requested),
+            )
+        });
+        most_requested.map(|(key, _)| key.clone())
     }
 
-    fn evict(&mut self, expected: u64, now: Time) -> LoadStep {
-        let last_use = |key: &AdapterKey| self.used.get(key).map(|used| used.last);
+    fn evict(&mut self, expected_accepted: u64, now: Time) -> LoadStep {
+        let last_use = |key: &AdapterKey| self.usage.get(key).map(|usage| usage.last_used);
         let victim = self
             .resident
             .keys()
-            .filter(|key| !self.wishes.contains_key(*key) && !self.busy(key, now))
-            .filter(|key| !self.leaves(key))
+            .filter(|key| !self.load_requests.contains_key(*key) && !self.is_busy(key, now))
+            .filter(|key| !self.is_unloading(key))
             .min_by_key(|key| last_use(key))
             .cloned();
         match victim {
             Some(key) => {
-                let what = OrderKind::UnloadAdapter(key);
-                LoadStep::Send(Order { what, expected })
+                let kind = OrderKind::UnloadAdapter(key);
+                LoadStep::Send(Order {
+                    kind,
+                    expected_accepted,
+                })
             }
-            None => LoadStep::Wait(now + FULL_PAUSE),
+            None => LoadStep::Wait(now + EVICTION_RETRY_DELAY),
         }
     }
 }
--- a/crates/gateway/src/decide/loader/order.rs
+++ b/crates/gateway/src/decide/loader/order.rs
@@ -1,62 +1,63 @@
-//! Orders to engines and what engines say of themselves.
+//! Orders sent to engines, and the reports that engines return.
 
 use bluebellstage_core::{AdapterVersion, BaseModel};
 
-use crate::decide::adapter::{AdapterAt, AdapterKey};
+use crate::decide::adapter::{AdapterKey, VersionedAdapter};
 
-/// What an engine says of itself when asked.
+/// State that an engine reports.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Report {
-    /// Orders that it has accepted since its start.
+    /// Number of orders that it has accepted since its start.
     pub accepted: u64,
-    /// An order on a base model is under way.
+    /// Whether an order on a base model is in progress.
     pub busy: bool,
-    /// Base models that it holds.
+    /// Resident base models.
     pub models: Vec<BaseModel>,
-    /// Adapters that it holds.
-    pub adapters: Vec<AdapterAt>,
-    /// Adapters on their way to it.
-    pub coming: Vec<AdapterAt>,
+    /// Resident adapters.
+    pub adapters: Vec<VersionedAdapter>,
+    /// Adapters being loaded.
+    pub pending_loads: Vec<VersionedAdapter>,
 }
 
 /// An order to an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
-    /// What to do.
-    pub what: OrderKind,
-    /// Orders that the engine must have accepted so far.
-    pub expected: u64,
+    /// The operation.
+    pub kind: OrderKind,
+    /// Number of orders that the engine must have accepted so far.
+    pub expected_accepted: u64,
 }
 
-/// What an engine is to do.
+/// Operation that an engine is ordered to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderKind {
     /// Load a base model.
     LoadModel(BaseModel),
-    /// Load an adapter, or replace it by this version; none: the newest.
+    /// Load an adapter, or replace it by this version; `None` means the newest one.
     LoadAdapter(AdapterKey, Option<AdapterVersion>),
-    /// Drop an adapter.
+    /// Unload an adapter.
     UnloadAdapter(AdapterKey),
 }
 
-/// How an engine took an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderAnswer {
-    /// It carries the order out.
+pub enum OrderOutcome {
+    /// The engine has accepted the order and carries it out.
     Accepted,
-    /// It was done at once, or held already.
+    /// The order was completed immediately, or nothing needed to change.
     Done,
-    /// Another order is under way, the count differs, or the adapter is in use.
+    /// Another order is in progress, the count differs, or the adapter is in use.
     Conflict,
-    /// A later holder has ordered, the engine is another one, or the order is malformed.
+    /// A later holder has sent orders, the engine is a different one, or the order is malformed.
     Refused,
-    /// No answer: it may be carried out later. The next order names the same count, so that the
-    /// engine takes only one of them; if it has taken this one already, the next one conflicts.
+    /// No response: the order may still be carried out. The next order expects the same count, so
+    /// the engine accepts only one of the two; if it has already accepted this one, the next one
+    /// conflicts.
     Unknown,
 }
 
-impl OrderAnswer {
-    /// A short name, for metrics.
+impl OrderOutcome {
+    /// Returns the metric label.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
--- a/crates/gateway/src/decide/peers.rs
+++ b/crates/gateway/src/decide/peers.rs
@@ -7,7 +7,7 @@
 use bluebellstage_core::{FailureDomain, Incarnation, InstanceId, Revision, Time};
 use serde::{Deserialize, Serialize};
 
-use super::loader::Places;
+use super::loader::AdapterSlots;
 use super::news::View;
 use super::rendezvous::{ShortHash, weight};
 use super::status::{Role, Status};
@@ -140,7 +140,7 @@
     /// Adapters that wait for one on engines of its shards.
     pub waiting_loads: u16,
     /// Places for adapters on the engines of its shards.
-    pub places: HashMap<ShortHash, Places>,
+    pub places: HashMap<ShortHash, AdapterSlots>,
     /// Loader shards on which it orders.
     pub shards: Vec<u8>,
     /// Loader shards that it holds, also while it may not order yet.
--- a/crates/gateway/src/decide/picking.rs
+++ b/crates/gateway/src/decide/picking.rs
@@ -1,4 +1,4 @@
-//! Picks the target of a request by all that an instance knows.
+//! Picks the target of a request from everything that an instance knows.
 
 use std::time::Duration;
 
@@ -6,38 +6,38 @@
 
 use super::call::Call;
 use super::config::Config;
-use super::loader::Places;
-use super::placement::{Candidate, Known, Pick, pick_engine, pick_plain};
+use super::loader::AdapterSlots;
+use super::placement::{Candidate, Pick, PickContext, pick_engine, pick_plain};
 use super::quarantine::Fingerprint;
 use super::rendezvous::ShortHash;
 use super::tables::{Tables, Ticket, shard_of};
 
-/// Part of a target's connections that all instances together use: peers may not have heard yet
-/// of one that has just joined.
-const USED_CONNECTIONS: f64 = 0.85;
-/// How long an adapter that was asked for at one engine isn't asked for at another one: a load from
-/// the weight store comes within half of it, even if twice as many as at full speed are under way.
-pub(super) const ASKED_LASTS: Duration = Duration::from_secs(1);
-/// Part of the loads that the weight store carries at once from which as many that wait count as a
-/// crowd: those that wait for places are among them.
-const CROWDED_PART: u32 = 2;
+/// Fraction of a target's connections that all instances together use: peers may not yet know of an
+/// instance that has just joined.
+const USABLE_CONNECTION_FRACTION: f64 = 0.85;
+/// How long load requests for an adapter keep going to the same engine: a load from the weight
+/// store takes at most half of this, even if twice as many loads are in progress as at full speed.
+pub(super) const LOAD_TARGET_TTL: Duration = Duration::from_secs(1);
+/// The weight store counts as congested when the number of adapters waiting for a load exceeds its
+/// full-speed capacity divided by this number. Adapters that wait for slots are included.
+const CONGESTION_DIVISOR: u32 = 2;
 
 impl Tables {
-    /// Picks the target for a request, those in `tried` left out. `draw` is random, from 0 to 1. The request is
-    /// charged to the target's limit, if it names one.
+    /// Picks the target for a request, leaving out those in `tried`. `sample` is a random number
+    /// from 0 to 1. The request is charged to the target's limit, if it has one.
     ///
-    /// What a limited target takes goes to requests that nothing else can run now.
+    /// Targets with a limit are used only for requests that no other target can run now.
     #[must_use]
     pub fn pick(
         &mut self,
         ticket: &Ticket,
         call: &Call,
         tried: &[TargetId],
-        draw: f64,
+        sample: f64,
         now: Time,
     ) -> Pick {
         if self.limits.is_empty() {
-            return self.pick_any(ticket, call, tried, draw, now);
+            return self.pick_ignoring_limits(ticket, call, tried, sample, now);
         }
         let limited = self.limits.all().map(|(target, _)| target);
         let of_service = |target: &&TargetId| {
@@ -46,50 +46,51 @@
         };
         let limited = limited.filter(of_service).cloned().collect::<Vec<_>>();
         if limited.is_empty() {
-            return self.pick_any(ticket, call, tried, draw, now);
+            return self.pick_ignoring_limits(ticket, call, tried, sample, now);
         }
-        let rested = |target: &&TargetId| !self.limits.may_be_over(target, now);
-        let mut left_out = tried.to_vec();
-        left_out.extend(limited.iter().filter(rested).cloned());
-        let first = self.pick_within_limits(ticket, call, &mut left_out, draw, now);
+        let limit_is_current = |target: &&TargetId| !self.limits.may_be_over(target, now);
+        let mut excluded = tried.to_vec();
+        excluded.extend(limited.iter().filter(limit_is_current).cloned());
+        let first = self.pick_within_limits(ticket, call, &mut excluded, sample, now);
         if matches!(first, Pick::Send { .. }) {
             return first;
         }
-        let mut left_out = tried.to_vec();
-        let second = self.pick_within_limits(ticket, call, &mut left_out, draw, now);
+        let mut excluded = tried.to_vec();
+        let second = self.pick_within_limits(ticket, call, &mut excluded, sample, now);
         match (first, second) {
             (_, second @ Pick::Send { .. }) => second,
-            (Pick::Nowhere, Pick::Nowhere) => Pick::Full,
+            (Pick::NoTarget, Pick::NoTarget) => Pick::Full,
             (first, _) => first,
         }
     }
 
-    /// Picks a target whose limit has room, and charges it; those that have none are added to `left_out`.
+    /// Picks a target whose limit has free capacity and charges it; targets without free capacity
+    /// are added to `excluded`.
     fn pick_within_limits(
         &mut self,
         ticket: &Ticket,
         call: &Call,
-        left_out: &mut Vec<TargetId>,
-        draw: f64,
+        excluded: &mut Vec<TargetId>,
+        sample: f64,
         now: Time,
     ) -> Pick {
         loop {
-            let pick = self.pick_any(ticket, call, left_out, draw, now);
+            let pick = self.pick_ignoring_limits(ticket, call, excluded, sample, now);
             match &pick {
                 Pick::Send { target, .. } if !self.charge_limit(target, now) => {
-                    left_out.push(target.clone());
+                    excluded.push(target.clone());
                 }
                 _ => return pick,
             }
         }
     }
 
-    fn pick_any(
+    fn pick_ignoring_limits(
         &mut self,
         ticket: &Ticket,
         call: &Call,
         tried: &[TargetId],
-        draw: f64,
+        sample: f64,
         now: Time,
     ) -> Pick {
         let config = self.routes.config();
@@ -102,51 +103,51 @@
             .filter(|target| target.service == ticket.service)
             .filter(|target| !tried.contains(&target.id))
             .map(|target| {
-                let own = self.own_in_flight(&target.id);
+                let local = self.own_in_flight(&target.id);
                 let others = self.peers.load(ShortHash::of(target.id.as_str()));
-                let prompts = self.queues.own(&target.id) + u64::from(others.prompts);
+                let prompts = self.queues.local_tokens(&target.id) + u64::from(others.prompts);
                 Candidate {
                     target,
-                    in_flight: own + others.requests,
-                    wait: self.queues.reading(&target.id, prompts),
-                    reading: self.queues.reading(&target.id, call.prompt.0),
-                    longest_wait: self.queues.longest_wait(&target.id, now),
-                    connectable: own < limit,
-                    // An adapter that is loaded where little is taken serves few.
-                    loadable: self.loader_reachable(&target.id, now)
+                    in_flight: local + others.requests,
+                    queue_wait: self.queues.reading_time(&target.id, prompts),
+                    prompt_time: self.queues.reading_time(&target.id, call.prompt.0),
+                    recent_max_wait: self.queues.recent_max_wait(&target.id, now),
+                    can_connect: local < limit,
+                    // An adapter loaded on a target with a low limit would serve few requests.
+                    can_load: self.loader_reachable(&target.id, now)
                         && self.limits.of(&target.id).is_none(),
-                    places: self.places(&target.id, now),
+                    adapter_slots: self.adapter_slots(&target.id, now),
                 }
             })
             .collect::<Vec<_>>();
-        let known = Known {
+        let cx = PickContext {
             health: &self.health,
             residency: &self.residency,
             versions: &self.versions,
             failure_domain: &self.me.failure_domain,
             target_latency: ticket.route().target_latency,
             rank: ticket.rank,
-            asked: self.asked_at(call, now),
-            draw,
+            load_requested_at: self.load_requested_target(call, now),
+            sample,
             now,
         };
         let pick = match &call.wanted {
             Some(wanted) if is_engine(config, &ticket.service) => {
-                pick_engine(&candidates, wanted, call.prompt_start, &known)
+                pick_engine(&candidates, wanted, call.prompt_start, &cx)
             }
-            _ => pick_plain(&candidates, &known),
+            _ => pick_plain(&candidates, &cx),
         };
         if let (Pick::Load(target), Some(key)) = (&pick, Self::adapter_of(call)) {
-            let asked = self.asked.entry(key.clone());
-            let asked = asked.or_insert_with(|| (target.clone(), now));
-            if asked.0 != *target {
-                *asked = (target.clone(), now);
+            let entry = self.asked.entry(key.clone());
+            let entry = entry.or_insert_with(|| (target.clone(), now));
+            if entry.0 != *target {
+                *entry = (target.clone(), now);
             }
         }
         pick
     }
 
-    /// Picks as [`Tables::pick`] does. A suspect goes apart from the others if it can.
+    /// Picks like [`Tables::pick`], but keeps a suspect request apart from the others if possible.
     #[must_use]
     pub fn pick_apart(
         &mut self,
@@ -154,7 +155,7 @@
         ticket: &Ticket,
         call: &Call,
         tried: &[TargetId],
-        draw: f64,
+        sample: f64,
         now: Time,
     ) -> Pick {
         if self.quarantine.suspicion(request) > 0 {
@@ -162,26 +163,27 @@
             let others = targets.filter(|id| {
                 self.suspects_at.contains_key(*id) || !self.quarantine.is_apart(request, id)
             });
-            let left_out = tried.iter().chain(others).cloned().collect::<Vec<_>>();
-            let pick = self.pick(ticket, call, &left_out, draw, now);
+            let excluded = tried.iter().chain(others).cloned().collect::<Vec<_>>();
+            let pick = self.pick(ticket, call, &excluded, sample, now);
             if matches!(pick, Pick::Send { .. } | Pick::Load(_)) {
                 return pick;
             }
         }
-        self.pick(ticket, call, tried, draw, now)
+        self.pick(ticket, call, tried, sample, now)
     }
 
-    /// The engine where the call's adapter was asked for lately.
-    fn asked_at(&self, call: &Call, now: Time) -> Option<&TargetId> {
+    /// Returns the engine on which the call's adapter was recently requested.
+    fn load_requested_target(&self, call: &Call, now: Time) -> Option<&TargetId> {
         let (target, at) = self.asked.get(Self::adapter_of(call)?)?;
-        (now.since(*at) < ASKED_LASTS).then_some(target)
+        (now.since(*at) < LOAD_TARGET_TTL).then_some(target)
     }
 
-    /// Connections to one target that this instance may have, of `most` for all.
+    /// Returns the number of connections to one target that this instance may open, if all
+    /// instances together may open `max_connections`.
     #[must_use]
-    pub fn connection_limit(&self, most: u32, now: Time) -> u32 {
-        let sharing = u32::try_from(self.peers.sharing(now)).unwrap_or(u32::MAX);
-        let share = f64::from(most) * USED_CONNECTIONS / f64::from(sharing);
+    pub fn connection_limit(&self, max_connections: u32, now: Time) -> u32 {
+        let instances = u32::try_from(self.peers.sharing(now)).unwrap_or(u32::MAX);
+        let share = f64::from(max_connections) * USABLE_CONNECTION_FRACTION / f64::from(instances);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -191,26 +193,27 @@
         share.max(1)
     }
 
-    /// Whether so many adapters wait for a load that the weight store is busy for a while.
+    /// Returns whether so many adapters wait for a load that the weight store will be busy for a
+    /// while.
     #[must_use]
-    pub fn loads_crowded(&self, ticket: &Ticket, now: Time) -> bool {
+    pub fn is_loading_congested(&self, ticket: &Ticket, now: Time) -> bool {
         let service = self.routes.config().service(&ticket.service);
         let engine = service.and_then(|service| service.engine.as_ref());
         let at_once = engine.map_or(0, |engine| engine.adapter_loads_at_once);
         let others = self.peers.live(now);
         let others = others.map(|peer| u32::from(peer.waiting_loads));
-        u32::from(self.loads.waiting) + others.sum::<u32>() > at_once / CROWDED_PART
+        u32::from(self.loads.waiting) + others.sum::<u32>() > at_once / CONGESTION_DIVISOR
     }
 
-    /// Places for adapters on an engine, as its holder last told.
-    fn places(&self, target: &TargetId, now: Time) -> Places {
+    /// Returns the adapter slots of an engine as its lease holder last reported them.
+    fn adapter_slots(&self, target: &TargetId, now: Time) -> AdapterSlots {
         let hash = ShortHash::of(target.as_str());
-        let own = self.loads.places.get(&hash);
-        let told = || {
+        let local = self.loads.places.get(&hash);
+        let from_holder = || {
             let holder = self.peers.holder(shard_of(target), now)?;
             holder.places.get(&hash)
         };
-        own.or_else(told).copied().unwrap_or_default()
+        local.or_else(from_holder).copied().unwrap_or_default()
     }
 
     fn loader_reachable(&self, target: &TargetId, now: Time) -> bool {
--- a/crates/gateway/src/decide/placement.rs
+++ b/crates/gateway/src/decide/placement.rs
@@ -1,186 +1,195 @@
-//! Picks the target of a request.
+//! Picks the target of a request from a list of candidates.
 
 use std::time::Duration;
 
 use bluebellstage_core::{AdapterVersion, FailureDomain, TargetId, Time};
 
-use super::adapter::Wanted;
+use super::adapter::RequestedModel;
 use super::adapter_choice::pick_for_adapter;
-use super::health::{Health, Standing};
-use super::loader::Places;
+use super::health::{Health, HealthState};
+use super::loader::AdapterSlots;
 use super::rendezvous::{name_hash, weight};
 use super::residency::Residency;
 use super::target::Target;
 use super::versions::Versions;
 
-/// Fill of an engine, in parts of its slots, up to which requests stay where their adapter and
-/// prompt start are. An engine's step takes little longer with all slots taken than with one, so a
-/// second copy pays late.
-const STAY_BELOW: f64 = 0.85;
-/// Fill beyond which an engine is no place for another adapter.
-const LOAD_BELOW: f64 = 0.8;
-/// Wait for the prompts that stand before, in parts of the route's target latency, up to which
-/// requests stay. Long prompts fill an engine when a fifth of its slots is taken. A copy elsewhere
-/// costs a load and a place, so it is not made for each short queue.
-const STAY_WITHIN: f64 = 0.5;
-/// The same, beyond which an engine is no place for another copy.
-const LOAD_WITHIN: f64 = 0.3;
-/// Time to the first event, in parts of the route's target latency, beyond which a request is
-/// refused where nothing would begin it sooner. A longer queue makes all that stand in it late and
-/// serves no more of them; a little over 1, as what is told of queues is out of date.
-const BEGIN_WITHIN: f64 = 1.25;
-/// How much longer the queue may be for requests of the first rank: engines put them first.
+/// Utilization of an engine, as a fraction of its slots, up to which requests stay where their
+/// adapter and prompt prefix are. An engine's step takes little longer with all slots taken than
+/// with one, so a second replica is worthwhile only at high utilization.
+const MAX_AFFINITY_UTILIZATION: f64 = 0.85;
+/// Utilization above which no further adapter is loaded on an engine.
+const MAX_REPLICA_UTILIZATION: f64 = 0.8;
+/// Wait for queued prompts, as a fraction of the route's target latency, up to which requests stay
+/// on an engine. Long prompts can saturate an engine when a fifth of its slots is taken. A replica
+/// costs a load and a slot, so none is made for each short queue.
+const MAX_AFFINITY_WAIT_FRACTION: f64 = 0.5;
+/// The same wait, above which no replica is loaded on an engine.
+const MAX_REPLICA_WAIT_FRACTION: f64 = 0.3;
+/// Time to the first event, as a fraction of the route's target latency, above which a request is
+/// refused if nothing can start it sooner. A longer queue makes all requests in it late and serves
+/// no more of them. It is a little over 1 because information about queues is out of date.
+const MAX_START_FRACTION: f64 = 1.25;
+/// Factor by which the queue may be longer for requests of the first rank, which engines process
+/// first.
 const FIRST_RANK_FACTOR: f64 = 1.3;
-/// What the way to another failure domain costs a plain request, in parts of a slot's work.
-const AWAY_COST: f64 = 0.15;
-/// What an empty target costs, in the same parts: with it a quick one goes before a slow one.
-const EMPTY_COST: f64 = 0.1;
-/// Latency that a target without outcomes is taken to have, in seconds.
-const LEAST_LATENCY: f64 = 0.01;
-
-/// A target with what this instance knows of its load.
+/// Cost of a plain request in another failure domain, as a fraction of a slot's work.
+const REMOTE_DOMAIN_COST: f64 = 0.15;
+/// Cost of an idle target, in the same unit; with it a fast target is preferred over a slow one.
+const BASE_COST: f64 = 0.1;
+/// Latency assumed for a target without outcomes, in seconds.
+const MIN_LATENCY_SECONDS: f64 = 0.01;
+
+/// A target and what this instance knows of its load.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// The target.
     pub target: &'a Target,
-    /// Requests there from all instances, as far as known.
+    /// Requests in flight there from all instances, as far as known.
     pub in_flight: u32,
-    /// Time until prompts that wait there are read.
-    pub wait: Duration,
-    /// Time to read the request's own prompt.
-    pub reading: Duration,
-    /// Longest time that a request took to begin there lately.
-    pub longest_wait: Duration,
-    /// This instance may open or reuse a connection.
-    pub connectable: bool,
-    /// Whoever orders loads there can be asked.
-    pub loadable: bool,
-    /// Its places for adapters.
-    pub places: Places,
+    /// Time until the prompts queued there have been processed.
+    pub queue_wait: Duration,
+    /// Time to process the request's own prompt.
+    pub prompt_time: Duration,
+    /// Longest time that a request recently took to start there.
+    pub recent_max_wait: Duration,
+    /// Whether this instance may open or reuse a connection.
+    pub can_connect: bool,
+    /// Whether the instance that orders loads there can be reached.
+    pub can_load: bool,
+    /// Its adapter slots.
+    pub adapter_slots: AdapterSlots,
 }
 
-/// What the choice goes by beside the candidates.
+/// Context of a selection apart from the candidates.
 #[derive(Clone, Copy, Debug)]
-pub struct Known<'a> {
-    /// What targets proved to be.
+pub struct PickContext<'a> {
+    /// Health of targets.
     pub health: &'a Health,
-    /// Which engine holds which adapter.
+    /// Resident adapters of engines.
     pub residency: &'a Residency,
-    /// Newest versions.
+    /// Newest adapter versions.
     pub versions: &'a Versions,
-    /// Where this instance runs.
+    /// Failure domain of this instance.
     pub failure_domain: &'a FailureDomain,
-    /// Time to the first event that the request's route aims at.
+    /// Target time to the first event on the request's route.
     pub target_latency: Duration,
-    /// Rank of the request, 0 first.
+    /// Priority rank of the request, 0 first.
     pub rank: u8,
-    /// Where the adapter was asked for lately.
-    pub asked: Option<&'a TargetId>,
-    /// Random, evenly spread.
-    pub draw: f64,
-    /// The clock.
+    /// Engine on which the adapter was recently requested.
+    pub load_requested_at: Option<&'a TargetId>,
+    /// Random number between 0 and 1, evenly distributed.
+    pub sample: f64,
+    /// Current time.
     pub now: Time,
 }
 
-/// The target of a request.
+/// Result of picking a target for a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Pick {
-    /// Send it there.
+    /// Send the request to this target.
     Send {
         /// The target.
         target: TargetId,
-        /// The adapter's version there.
+        /// Version of the adapter there.
         version: Option<AdapterVersion>,
-        /// It is a trial of a target that failed.
+        /// Whether the request is a trial of a target that failed.
         trial: bool,
-        /// Other engines where the adapter should be loaded as well.
+        /// Other engines that should load the adapter as well.
         load_at: Vec<TargetId>,
     },
-    /// Have the adapter loaded there and look again.
+    /// Request a load of the adapter there and pick again.
     Load(TargetId),
-    /// Everything that could run it is full.
+    /// All targets that could run the request are full.
     Full,
-    /// Engines that hold its adapter would begin it too late.
+    /// Engines that hold the adapter would start the request too late.
     Late {
-        /// By how much the least busy of them would.
+        /// How much too late the least busy of them would start it.
         excess: Duration,
-        /// Engines where the adapter should be loaded as well.
+        /// Engines that should load the adapter as well.
         load_at: Vec<TargetId>,
     },
-    /// Nothing can run it.
-    Nowhere,
+    /// No target can run the request.
+    NoTarget,
 }
 
 impl Candidate<'_> {
-    fn fill(&self) -> f64 {
+    fn utilization(&self) -> f64 {
         f64::from(self.in_flight) / f64::from(self.target.slots.max(1))
     }
 
-    /// The wait for the first event, in parts of the route's target latency.
-    fn lateness(&self, known: &Known<'_>) -> f64 {
-        self.wait.as_secs_f64() / known.target_latency.as_secs_f64().max(LEAST_LATENCY)
+    /// Returns the wait for the first event as a fraction of the route's target latency.
+    fn relative_wait(&self, cx: &PickContext<'_>) -> f64 {
+        self.queue_wait.as_secs_f64() / cx.target_latency.as_secs_f64().max(MIN_LATENCY_SECONDS)
     }
 
-    /// How full the engine is for requests on what it holds; from 1 on others come first.
-    pub(super) fn crowding(&self, known: &Known<'_>) -> f64 {
-        let waiting = self.lateness(known) / STAY_WITHIN;
-        (self.fill() / STAY_BELOW).max(waiting)
+    /// Returns the load of the engine for requests on a resident adapter or model; from 1 on, other
+    /// engines are preferred.
+    pub(super) fn congestion(&self, cx: &PickContext<'_>) -> f64 {
+        let wait_ratio = self.relative_wait(cx) / MAX_AFFINITY_WAIT_FRACTION;
+        (self.utilization() / MAX_AFFINITY_UTILIZATION).max(wait_ratio)
     }
 
-    /// By how much the request would begin too late; zero if it wouldn't.
-    pub(super) fn too_late(&self, known: &Known<'_>) -> Duration {
-        let first = known.rank == 0;
-        let longer = if first { FIRST_RANK_FACTOR } else { 1.0 };
-        let limit = known.target_latency.mul_f64(BEGIN_WITHIN * longer);
-        (self.wait + self.reading).saturating_sub(limit)
+    /// Returns by how much the request would start too late; zero if in time.
+    pub(super) fn excess_delay(&self, cx: &PickContext<'_>) -> Duration {
+        let is_first_rank = cx.rank == 0;
+        let factor = if is_first_rank {
+            FIRST_RANK_FACTOR
+        } else {
+            1.0
+        };
+        let limit = cx.target_latency.mul_f64(MAX_START_FRACTION * factor);
+        (self.queue_wait + self.prompt_time).saturating_sub(limit)
     }
 
-    /// Whether another adapter may be loaded there beside others that have it.
-    pub(super) fn takes_another(&self, known: &Known<'_>) -> bool {
-        self.fill() < LOAD_BELOW && self.lateness(known) < LOAD_WITHIN
+    /// Returns whether a replica of an adapter may be loaded there in addition to those elsewhere.
+    pub(super) fn accepts_replica(&self, cx: &PickContext<'_>) -> bool {
+        self.utilization() < MAX_REPLICA_UTILIZATION
+            && self.relative_wait(cx) < MAX_REPLICA_WAIT_FRACTION
     }
 }
 
-/// Picks a target for a plain request: the emptiest and quickest one, the own failure domain
-/// preferred.
+/// Picks a target for a plain request: the least loaded and fastest one, with a preference for this
+/// instance's failure domain.
 #[must_use]
-pub fn pick_plain(candidates: &[Candidate<'_>], known: &Known<'_>) -> Pick {
-    let staying = candidates
+pub fn pick_plain(candidates: &[Candidate<'_>], cx: &PickContext<'_>) -> Pick {
+    let active = candidates
         .iter()
         .filter(|candidate| !candidate.target.leaving)
         .collect::<Vec<_>>();
-    if staying.is_empty() {
-        return Pick::Nowhere;
+    if active.is_empty() {
+        return Pick::NoTarget;
     }
-    let open = in_standing(staying, known)
+    let open = without_ejected(active, cx)
         .into_iter()
-        .filter(|candidate| candidate.connectable);
-    let best = open.min_by(|a, b| plain_cost(a, known).total_cmp(&plain_cost(b, known)));
+        .filter(|candidate| candidate.can_connect);
+    let best =
+        open.min_by(|a, b| cost_of_plain_target(a, cx).total_cmp(&cost_of_plain_target(b, cx)));
     best.map_or(Pick::Full, |candidate| {
-        send(candidate, None, Vec::new(), known)
+        send_to(candidate, None, Vec::new(), cx)
     })
 }
 
-/// What a request costs at a plain target, against others; a trial comes first.
-fn plain_cost(candidate: &Candidate<'_>, known: &Known<'_>) -> f64 {
+/// Returns the relative cost of a request at a plain target. A trial has no cost, so it comes
+/// first.
+fn cost_of_plain_target(candidate: &Candidate<'_>, cx: &PickContext<'_>) -> f64 {
     let target = &candidate.target;
-    if known.health.standing(&target.id, known.now) == Standing::Trial {
+    if cx.health.state(&target.id, cx.now) == HealthState::Trial {
         return 0.0;
     }
-    let away = target.failure_domain != *known.failure_domain;
-    let away = if away { AWAY_COST } else { 0.0 };
-    let slow = known.health.latency(&target.id).max(LEAST_LATENCY);
-    (candidate.fill() + away + EMPTY_COST) * slow
+    let is_remote = target.failure_domain != *cx.failure_domain;
+    let domain_cost = if is_remote { REMOTE_DOMAIN_COST } else { 0.0 };
+    let latency = cx.health.latency(&target.id).max(MIN_LATENCY_SECONDS);
+    (candidate.utilization() + domain_cost + BASE_COST) * latency
 }
 
-/// Those that aren't ejected; all of them if every one is: servers that all fail half of their
-/// requests still serve the other half.
-fn in_standing<'a, 'b>(
+/// Returns the candidates that aren't ejected, or all of them if every one is ejected: servers that
+/// all fail half of their requests still serve the other half.
+fn without_ejected<'a, 'b>(
     candidates: Vec<&'a Candidate<'b>>,
-    known: &Known<'_>,
+    cx: &PickContext<'_>,
 ) -> Vec<&'a Candidate<'b>> {
     let ejected = |candidate: &&Candidate<'_>| {
-        known.health.standing(&candidate.target.id, known.now) == Standing::Ejected
+        cx.health.state(&candidate.target.id, cx.now) == HealthState::Ejected
     };
     if candidates.iter().all(ejected) {
         return candidates;
@@ -191,53 +200,53 @@
         .collect()
 }
 
-/// Picks an engine. Requests for one adapter go to the same engine while it has room, so that the
-/// adapter takes one slot in the fleet and its prompts are read once.
+/// Picks an engine. Requests for one adapter go to the same engine while it has free capacity, so
+/// that the adapter takes one slot among all engines and its prompts are processed once.
 #[must_use]
 pub fn pick_engine(
     candidates: &[Candidate<'_>],
-    wanted: &Wanted,
+    wanted: &RequestedModel,
     prompt_start: Option<u64>,
-    known: &Known<'_>,
+    cx: &PickContext<'_>,
 ) -> Pick {
-    let holders = candidates
+    let engines = candidates
         .iter()
         .filter(|candidate| !candidate.target.leaving)
         .filter(|candidate| candidate.target.models.contains(wanted.model()))
         .collect::<Vec<_>>();
-    if holders.is_empty() {
-        return Pick::Nowhere;
+    if engines.is_empty() {
+        return Pick::NoTarget;
     }
-    let mut holders = in_standing(holders, known);
+    let mut engines = without_ejected(engines, cx);
     let key = match wanted {
-        Wanted::Base(_) => prompt_start.unwrap_or(0),
-        Wanted::Adapter(key) => name_hash(key.adapter.as_str()),
+        RequestedModel::Base(_) => prompt_start.unwrap_or(0),
+        RequestedModel::Adapter(key) => name_hash(key.adapter.as_str()),
     };
-    holders.sort_by_key(|candidate| std::cmp::Reverse(weight(key, candidate.target.id.as_str())));
+    engines.sort_by_key(|candidate| std::cmp::Reverse(weight(key, candidate.target.id.as_str())));
     match wanted {
-        Wanted::Base(_) => send_first(&holders, known),
-        Wanted::Adapter(key) => pick_for_adapter(&holders, key, known),
+        RequestedModel::Base(_) => pick_for_base_model(&engines, cx),
+        RequestedModel::Adapter(key) => pick_for_adapter(&engines, key, cx),
     }
 }
 
-fn send_first(holders: &[&Candidate<'_>], known: &Known<'_>) -> Pick {
-    let open = || holders.iter().filter(|candidate| candidate.connectable);
-    let roomy = open().find(|candidate| candidate.crowding(known) < 1.0);
-    let emptiest = || open().min_by(|a, b| a.crowding(known).total_cmp(&b.crowding(known)));
-    let chosen = roomy.or_else(emptiest);
+fn pick_for_base_model(engines: &[&Candidate<'_>], cx: &PickContext<'_>) -> Pick {
+    let open = || engines.iter().filter(|candidate| candidate.can_connect);
+    let available = open().find(|candidate| candidate.congestion(cx) < 1.0);
+    let least_congested = || open().min_by(|a, b| a.congestion(cx).total_cmp(&b.congestion(cx)));
+    let chosen = available.or_else(least_congested);
     chosen.map_or(Pick::Full, |candidate| {
-        send(candidate, None, Vec::new(), known)
+        send_to(candidate, None, Vec::new(), cx)
     })
 }
 
-pub(super) fn send(
+pub(super) fn send_to(
     candidate: &Candidate<'_>,
     version: Option<AdapterVersion>,
     load_at: Vec<TargetId>,
-    known: &Known<'_>,
+    cx: &PickContext<'_>,
 ) -> Pick {
     let target = candidate.target.id.clone();
-    let trial = known.health.standing(&target, known.now) == Standing::Trial;
+    let trial = cx.health.state(&target, cx.now) == HealthState::Trial;
     Pick::Send {
         target,
         version,
--- a/crates/gateway/src/decide/prompt_queues.rs
+++ b/crates/gateway/src/decide/prompt_queues.rs
@@ -1,8 +1,8 @@
-//! How long engines take to begin a request: the prompts that wait there, and the speed at which each
-//! engine shows that it reads them.
+//! Estimates how long engines take to start a request, from the prompts queued there and the
+//! measured speed at which each engine processes prompts.
 //!
-//! An engine may be full although most of its slots are free: a few requests with long prompts keep it
-//! reading all the time. So its load is told in time, not in slots.
+//! An engine may be saturated although most of its slots are free: a few requests with long prompts
+//! keep it processing prompts all the time. Its load is therefore measured in time, not in slots.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,165 +11,178 @@
 use slotmap::{SlotMap, new_key_type};
 
 new_key_type! {
-    /// Names a request that was sent and has not begun.
+    /// Identifies a request that was sent and has not started.
     pub struct WaitingKey;
 }
 
-/// Weight that what was learned keeps with each new outcome: an engine that turns slow shows after
-/// ten of them.
-const KEPT: f64 = 0.9;
-/// Outcomes of one engine before its own speed is believed; until then it is taken for one like all.
-const LEAST_OUTCOMES: u32 = 4;
-/// Span in which a long wait is remembered.
-const LONG_WAIT_LASTS: Duration = Duration::from_secs(5);
-/// Least time that an outcome may have taken, in seconds: clocks tick in milliseconds.
-const LEAST_SECONDS: f64 = 0.001;
-
-/// Prompt tokens that were read over the time that passed, recent outcomes weighing more.
+/// Factor by which earlier outcomes decay with each new one: an engine that turns slow is detected
+/// after ten outcomes.
+const DECAY_FACTOR: f64 = 0.9;
+/// Number of outcomes of one engine before its own speed is used; until then the average of all
+/// engines is used.
+const MIN_OUTCOMES: u32 = 4;
+/// How long a long wait is remembered.
+const MAX_WAIT_RETENTION: Duration = Duration::from_secs(5);
+/// Minimum duration of an outcome, in seconds: clocks have millisecond resolution.
+const MIN_SECONDS: f64 = 0.001;
+
+/// Prompt tokens processed over time, with recent outcomes weighing more.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct ReadRate {
     tokens: f64,
     seconds: f64,
     outcomes: u32,
 }
 
-impl Pace {
-    fn learn(&mut self, tokens: f64, seconds: f64) {
-        self.tokens = self.tokens * KEPT + tokens;
-        self.seconds = self.seconds * KEPT + seconds;
+impl ReadRate {
+    fn record(&mut self, tokens: f64, seconds: f64) {
+        self.tokens = self.tokens * DECAY_FACTOR + tokens;
+        self.seconds = self.seconds * DECAY_FACTOR + seconds;
         self.outcomes = self.outcomes.saturating_add(1);
     }
 
-    /// Tokens a second; none before the first outcome.
-    fn speed(&self) -> Option<f64> {
+    /// Returns the tokens processed per second; `None` before the first outcome.
+    fn tokens_per_second(&self) -> Option<f64> {
         (self.outcomes > 0 && self.tokens > 0.0).then(|| self.tokens / self.seconds)
     }
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct WaitingPrompt {
     target: TargetId,
     tokens: u64,
-    /// Tokens before it and its own.
-    until_begun: u64,
+    /// Tokens queued before it, plus its own.
+    queued_tokens: u64,
     since: Time,
 }
 
 #[derive(Debug, Default)]
 struct Queue {
-    /// Tokens of this instance's requests that have not begun.
-    own: u64,
-    pace: Pace,
-    longest: Duration,
-    longest_at: Time,
+    /// Tokens of this instance's requests that have not started.
+    local_tokens: u64,
+    rate: ReadRate,
+    max_wait: Duration,
+    max_wait_at: Time,
 }
 
-/// The queues of all engines, as this instance knows them.
+/// Prompt queues of all engines, as this instance knows them.
 #[derive(Debug, Default)]
 pub struct PromptQueues {
-    waiting: SlotMap<WaitingKey, Waiting>,
+    waiting: SlotMap<WaitingKey, WaitingPrompt>,
     queues: HashMap<TargetId, Queue>,
-    /// Pace of all engines together.
-    typical: Pace,
+    /// Read rate of all engines together.
+    overall_rate: ReadRate,
 }
 
 #[expect(clippy::cast_precision_loss, reason = "tokens stay far below 2^52")]
-fn number(tokens: u64) -> f64 {
+fn to_f64(tokens: u64) -> f64 {
     tokens as f64
 }
 
 impl PromptQueues {
-    /// A request with a prompt of `tokens` goes to `target`, where peers have `others` waiting.
-    pub fn sent(&mut self, target: &TargetId, tokens: u64, others: u64, now: Time) -> WaitingKey {
+    /// Records that a request with a prompt of `tokens` is sent to `target`, where peers have
+    /// `others` tokens queued.
+    pub fn record_sent(
+        &mut self,
+        target: &TargetId,
+        tokens: u64,
+        others: u64,
+        now: Time,
+    ) -> WaitingKey {
         let queue = self.queues.entry(target.clone()).or_default();
-        queue.own += tokens;
-        self.waiting.insert(Waiting {
+        queue.local_tokens += tokens;
+        self.waiting.insert(WaitingPrompt {
             target: target.clone(),
             tokens,
-            until_begun: queue.own + others,
+            queued_tokens: queue.local_tokens + others,
             since: now,
         })
     }
 
-    /// It has begun: how long that took is learned.
-    pub fn began(&mut self, key: WaitingKey, now: Time) {
+    /// Records that the request has started, and learns from how long that took.
+    pub fn record_started(&mut self, key: WaitingKey, now: Time) {
         let Some(waiting) = self.take(key) else {
             return;
         };
-        let took = now.since(waiting.since);
+        let elapsed = now.since(waiting.since);
         let Some(queue) = self.queues.get_mut(&waiting.target) else {
             return;
         };
-        if took >= queue.longest || now.since(queue.longest_at) > LONG_WAIT_LASTS {
-            queue.longest = took;
-            queue.longest_at = now;
+        if elapsed >= queue.max_wait || now.since(queue.max_wait_at) > MAX_WAIT_RETENTION {
+            queue.max_wait = elapsed;
+            queue.max_wait_at = now;
         }
         if waiting.tokens == 0 {
             return;
         }
-        let tokens = number(waiting.until_begun);
-        let seconds = took.as_secs_f64().max(LEAST_SECONDS);
-        queue.pace.learn(tokens, seconds);
-        self.typical.learn(tokens, seconds);
+        let tokens = to_f64(waiting.queued_tokens);
+        let seconds = elapsed.as_secs_f64().max(MIN_SECONDS);
+        queue.rate.record(tokens, seconds);
+        self.overall_rate.record(tokens, seconds);
     }
 
-    /// It ended without beginning, or was cancelled.
-    pub fn gone(&mut self, key: WaitingKey) {
+    /// Removes a request that ended without starting or was cancelled.
+    pub fn remove(&mut self, key: WaitingKey) {
         let _known = self.take(key);
     }
 
-    fn take(&mut self, key: WaitingKey) -> Option<Waiting> {
+    fn take(&mut self, key: WaitingKey) -> Option<WaitingPrompt> {
         let waiting = self.waiting.remove(key)?;
         if let Some(queue) = self.queues.get_mut(&waiting.target) {
-            queue.own = queue.own.saturating_sub(waiting.tokens);
+            queue.local_tokens = queue.local_tokens.saturating_sub(waiting.tokens);
         }
         Some(waiting)
     }
 
-    /// Tokens of this instance's requests that wait at `target`.
+    /// Returns the tokens of this instance's requests that wait at `target`.
     #[must_use]
-    pub fn own(&self, target: &TargetId) -> u64 {
-        self.queues.get(target).map_or(0, |queue| queue.own)
+    pub fn local_tokens(&self, target: &TargetId) -> u64 {
+        self.queues
+            .get(target)
+            .map_or(0, |queue| queue.local_tokens)
     }
 
-    /// Time that `target` needs to read `tokens`; zero while nothing is known of any engine's speed.
+    /// Returns the time that `target` needs to process `tokens`; zero while no engine's speed is
+    /// known.
     #[must_use]
-    pub fn reading(&self, target: &TargetId, tokens: u64) -> Duration {
-        let own = self.queues.get(target).map(|queue| &queue.pace);
-        let own = own.filter(|pace| pace.outcomes >= LEAST_OUTCOMES);
-        let speed = own.unwrap_or(&self.typical).speed();
-        speed.map_or(Duration::ZERO, |speed| {
-            Duration::try_from_secs_f64(number(tokens) / speed).unwrap_or(Duration::MAX)
+    pub fn reading_time(&self, target: &TargetId, tokens: u64) -> Duration {
+        let local_tokens = self.queues.get(target).map(|queue| &queue.rate);
+        let local_tokens = local_tokens.filter(|rate| rate.outcomes >= MIN_OUTCOMES);
+        let tokens_per_second = local_tokens
+            .unwrap_or(&self.overall_rate)
+            .tokens_per_second();
+        tokens_per_second.map_or(Duration::ZERO, |tokens_per_second| {
+            Duration::try_from_secs_f64(to_f64(tokens) / tokens_per_second).unwrap_or(Duration::MAX)
         })
     }
 
-    /// Longest time that a request of this instance took to begin at `target` lately, those that
-    /// still wait included.
+    /// Returns the longest time that a request of this instance recently took to start at `target`,
+    /// including those still waiting.
     #[must_use]
-    pub fn longest_wait(&self, target: &TargetId, now: Time) -> Duration {
+    pub fn recent_max_wait(&self, target: &TargetId, now: Time) -> Duration {
         let known = self.queues.get(target);
-        let lately = known.filter(|queue| now.since(queue.longest_at) <= LONG_WAIT_LASTS);
-        let lately = lately.map_or(Duration::ZERO, |queue| queue.longest);
-        lately.max(self.oldest(target, now))
+        let recent = known.filter(|queue| now.since(queue.max_wait_at) <= MAX_WAIT_RETENTION);
+        let recent = recent.map_or(Duration::ZERO, |queue| queue.max_wait);
+        recent.max(self.oldest_wait(target, now))
     }
 
-    /// Age of the oldest request of this instance that waits at `target`.
+    /// Returns the age of the oldest request of this instance that waits at `target`.
     #[must_use]
-    pub fn oldest(&self, target: &TargetId, now: Time) -> Duration {
-        if self.own(target) == 0 {
+    pub fn oldest_wait(&self, target: &TargetId, now: Time) -> Duration {
+        if self.local_tokens(target) == 0 {
             return Duration::ZERO;
         }
-        let there = self
+        let at_target = self
             .waiting
             .values()
             .filter(|waiting| waiting.target == *target);
-        let ages = there.map(|waiting| now.since(waiting.since));
+        let ages = at_target.map(|waiting| now.since(waiting.since));
         ages.max().unwrap_or(Duration::ZERO)
     }
 
-    /// Forgets engines that are gone.
-    pub fn keep(&mut self, present: impl Fn(&TargetId) -> bool) {
+    /// Removes engines that no longer exist.
+    pub fn retain_targets(&mut self, is_present: impl Fn(&TargetId) -> bool) {
         self.queues
-            .retain(|target, queue| queue.own > 0 || present(target));
+            .retain(|target, queue| queue.local_tokens > 0 || is_present(target));
     }
 }
--- a/crates/gateway/src/decide/registry.rs
+++ b/crates/gateway/src/decide/registry.rs
@@ -347,7 +347,7 @@
     ) -> Vec<ShortHash> {
         let theirs = self.targets.values().filter(|target| targets(&target.id));
         let settled = theirs.filter_map(|target| {
-            let life = target.life()?;
+            let life = target.incarnation()?;
             let seen = self.lives.get(&target.id);
             let old = seen.is_some_and(|seen| now.since(*seen) > age);
             (old || before.contains(&life)).then_some(life)
--- a/crates/gateway/src/decide/residency.rs
+++ b/crates/gateway/src/decide/residency.rs
@@ -1,4 +1,4 @@
-//! Which engine holds which adapter, as far as this instance knows.
+//! Tracks which adapters are resident on which engine, as far as this instance knows.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -6,179 +6,190 @@
 use bluebellstage_core::{AdapterVersion, TargetId, Time};
 use serde::{Deserialize, Serialize};
 
-use super::adapter::{AdapterAt, AdapterKey};
+use super::adapter::{AdapterKey, VersionedAdapter};
 use super::target::Target;
 
-/// Age of a loader's word after which the engine's own registration is believed again.
-const LOADER_WORD_LASTS: Duration = Duration::from_secs(12);
+/// Age of the last loader update after which the engine's own registration is used again.
+const LOADER_UPDATE_TTL: Duration = Duration::from_secs(12);
 
-/// How long nothing is sent to an adapter that an engine said it doesn't hold; then one request goes
-/// as a scout, and the others go when it is answered.
+/// How long no request is sent for an adapter that an engine reported as missing. After it one
+/// request is sent as a probe, and the others follow when it succeeds.
 ///
-/// Dozens of requests may wait for a hot adapter. When its load took longer than expected all of
-/// them were refused at once, again and again, and used up the budget for repeats.
-const DOUBT: Duration = Duration::from_millis(60);
+/// Dozens of requests may wait for a hot adapter. When its load took longer than expected, all of
+/// them were refused at once, repeatedly, and used up the retry budget.
+const MISSING_BACKOFF: Duration = Duration::from_millis(60);
 
-/// Adapters that are remembered of each engine after it dropped them; there may be 1,000 engines.
-const MOST_LATELY: usize = 100;
+/// Maximum number of evicted adapters that are remembered for each engine; there may be 1,000
+/// engines.
+const MAX_REMEMBERED_EVICTIONS: usize = 100;
 
-/// Orders the words of an engine's loaders: a later lease first, then a later word.
+/// Version of a loader's update for an engine. Updates are ordered by lease first, then by number.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
-pub struct WordOrder {
-    /// Fencing number of the lease.
+pub struct ResidencyVersion {
+    /// Fencing token of the lease.
     pub fencing: u64,
-    /// Count of words under that lease.
+    /// Number of the update under that lease.
     pub count: u64,
 }
 
 #[derive(Debug, Default)]
-struct Holdings {
+struct EngineAdapters {
     adapters: HashMap<AdapterKey, AdapterVersion>,
-    order: WordOrder,
-    told: Option<Time>,
+    version: ResidencyVersion,
+    last_update_at: Option<Time>,
     born: Option<u64>,
-    /// Adapters that it held before, the last one at the end.
-    lately: VecDeque<AdapterKey>,
+    /// Recently evicted adapters, the latest last.
+    recently_evicted: VecDeque<AdapterKey>,
 }
 
-impl Holdings {
-    fn hold(&mut self, adapters: HashMap<AdapterKey, AdapterVersion>) {
-        self.lately.retain(|key| !adapters.contains_key(key));
-        let gone = self
+impl EngineAdapters {
+    fn replace_adapters(&mut self, adapters: HashMap<AdapterKey, AdapterVersion>) {
+        self.recently_evicted
+            .retain(|key| !adapters.contains_key(key));
+        let evicted = self
             .adapters
             .keys()
             .filter(|key| !adapters.contains_key(*key));
-        self.lately.extend(gone.cloned());
-        let more = self.lately.len().saturating_sub(MOST_LATELY);
-        self.lately.drain(..more);
+        self.recently_evicted.extend(evicted.cloned());
+        let excess = self
+            .recently_evicted
+            .len()
+            .saturating_sub(MAX_REMEMBERED_EVICTIONS);
+        self.recently_evicted.drain(..excess);
         self.adapters = adapters;
     }
 }
 
-/// Holdings of all engines.
+/// Resident adapters of all engines.
 #[derive(Debug, Default)]
 pub struct Residency {
-    engines: HashMap<TargetId, Holdings>,
-    /// Adapters that were found missing, with the time until which nothing is sent.
-    doubts: HashMap<(TargetId, AdapterKey), Time>,
+    engines: HashMap<TargetId, EngineAdapters>,
+    /// Adapters that were found missing, with the time until which no request is sent for them.
+    missing_until: HashMap<(TargetId, AdapterKey), Time>,
 }
 
-fn collect(adapters: &[AdapterAt]) -> HashMap<AdapterKey, AdapterVersion> {
-    let pairs = adapters.iter().map(|held| (held.key.clone(), held.version));
+fn collect(adapters: &[VersionedAdapter]) -> HashMap<AdapterKey, AdapterVersion> {
+    let pairs = adapters
+        .iter()
+        .map(|adapter| (adapter.key.clone(), adapter.version));
     pairs.collect()
 }
 
 impl Residency {
-    /// Takes in an engine's registration: the first word of a new life, later only where no loader
-    /// speaks for the engine.
-    pub fn registered(&mut self, target: &Target, now: Time) {
-        let holdings = self.engines.entry(target.id.clone()).or_default();
-        let loader_speaks = holdings
-            .told
-            .is_some_and(|told| now.since(told) < LOADER_WORD_LASTS);
-        if loader_speaks && holdings.born == target.born {
+    /// Applies an engine's registration. It is used if it starts a new incarnation, or if there is
+    /// no recent loader update for the engine.
+    pub fn apply_registration(&mut self, target: &Target, now: Time) {
+        let engine = self.engines.entry(target.id.clone()).or_default();
+        let has_recent_update = engine
+            .last_update_at
+            .is_some_and(|at| now.since(at) < LOADER_UPDATE_TTL);
+        if has_recent_update && engine.born == target.born {
             return;
         }
-        if holdings.born != target.born {
-            holdings.told = None;
-            holdings.lately.clear();
+        if engine.born != target.born {
+            engine.last_update_at = None;
+            engine.recently_evicted.clear();
         }
-        holdings.hold(collect(&target.adapters));
-        holdings.born = target.born;
+        engine.replace_adapters(collect(&target.adapters));
+        engine.born = target.born;
     }
 
-    /// Takes in a loader's word; false if it or a later one is known.
-    pub fn told(
+    /// Applies a loader's update. Returns `false` if this or a later update is already known.
+    pub fn apply_loader_update(
         &mut self,
         target: &TargetId,
-        order: WordOrder,
-        adapters: &[AdapterAt],
+        version: ResidencyVersion,
+        adapters: &[VersionedAdapter],
         now: Time,
     ) -> bool {
-        let holdings = self.engines.entry(target.clone()).or_default();
-        if order <= holdings.order {
+        let engine = self.engines.entry(target.clone()).or_default();
+        if version <= engine.version {
             return false;
         }
-        holdings.hold(collect(adapters));
-        holdings.order = order;
-        holdings.told = Some(now);
+        engine.replace_adapters(collect(adapters));
+        engine.version = version;
+        engine.last_update_at = Some(now);
         true
     }
 
-    /// What a target is known to hold.
-    pub fn held(&self, target: &TargetId) -> impl Iterator<Item = AdapterAt> {
-        let held = self.engines.get(target).into_iter();
-        let held = held.flat_map(|holdings| &holdings.adapters);
-        held.map(|(key, version)| AdapterAt {
+    /// Returns the adapters that `target` is known to hold.
+    pub fn adapters_at(&self, target: &TargetId) -> impl Iterator<Item = VersionedAdapter> {
+        let adapters = self.engines.get(target).into_iter();
+        let adapters = adapters.flat_map(|engine| &engine.adapters);
+        adapters.map(|(key, version)| VersionedAdapter {
             key: key.clone(),
             version: *version,
         })
     }
 
-    /// Version of `key` at `target`, if it is there and may be used.
+    /// Returns the version of `key` at `target`, if it is resident and may be used.
     #[must_use]
-    pub fn version(
+    pub fn usable_version(
         &self,
         target: &TargetId,
         key: &AdapterKey,
         now: Time,
     ) -> Option<AdapterVersion> {
         let version = self.engines.get(target)?.adapters.get(key).copied()?;
-        if self.doubts.is_empty() {
+        if self.missing_until.is_empty() {
             return Some(version);
         }
-        let doubt = self.doubts.get(&(target.clone(), key.clone()));
-        doubt.is_none_or(|until| *until <= now).then_some(version)
+        let blocked_until = self.missing_until.get(&(target.clone(), key.clone()));
+        blocked_until
+            .is_none_or(|until| *until <= now)
+            .then_some(version)
     }
 
-    /// Whether `key` is among the last adapters that `target` held, `copies` with those that it holds
-    /// now.
+    /// Returns whether `key` is among the last `copies` adapters that `target` held, which include
+    /// the resident ones.
     #[must_use]
-    pub fn held_lately(&self, target: &TargetId, key: &AdapterKey, copies: usize) -> bool {
-        self.engines.get(target).is_some_and(|holdings| {
-            let before = copies.saturating_sub(holdings.adapters.len());
-            let lately = holdings.lately.iter().rev().take(before);
-            lately.into_iter().any(|held| held == key)
+    pub fn held_recently(&self, target: &TargetId, key: &AdapterKey, copies: usize) -> bool {
+        self.engines.get(target).is_some_and(|engine| {
+            let remembered = copies.saturating_sub(engine.adapters.len());
+            let evicted = engine.recently_evicted.iter().rev().take(remembered);
+            evicted.into_iter().any(|adapter| adapter == key)
         })
     }
 
-    /// Adapters that `target` holds.
+    /// Returns the number of adapters that `target` holds.
     #[must_use]
-    pub fn count(&self, target: &TargetId) -> usize {
-        let holdings = self.engines.get(target);
-        holdings.map_or(0, |holdings| holdings.adapters.len())
+    pub fn adapter_count(&self, target: &TargetId) -> usize {
+        let engine = self.engines.get(target);
+        engine.map_or(0, |engine| engine.adapters.len())
     }
 
-    /// A request goes to `key` at `target`: if that is in doubt, it is the scout.
-    pub fn sent(&mut self, target: &TargetId, key: &AdapterKey, now: Time) {
-        if self.doubts.is_empty() {
+    /// Records that a request for `key` is sent to `target`. If the adapter was found missing, the
+    /// request is the probe and further requests wait again.
+    pub fn record_sent(&mut self, target: &TargetId, key: &AdapterKey, now: Time) {
+        if self.missing_until.is_empty() {
             return;
         }
-        if let Some(until) = self.doubts.get_mut(&(target.clone(), key.clone())) {
-            *until = now + DOUBT;
+        if let Some(until) = self.missing_until.get_mut(&(target.clone(), key.clone())) {
+            *until = now + MISSING_BACKOFF;
         }
     }
 
-    /// A request runs on `key` at `target`.
-    pub fn proved(&mut self, target: &TargetId, key: &AdapterKey) {
-        if !self.doubts.is_empty() {
-            self.doubts.remove(&(target.clone(), key.clone()));
+    /// Records that a request runs on `key` at `target`.
+    pub fn record_success(&mut self, target: &TargetId, key: &AdapterKey) {
+        if !self.missing_until.is_empty() {
+            self.missing_until.remove(&(target.clone(), key.clone()));
         }
     }
 
-    /// A target said that it doesn't hold `key`.
-    pub fn missing(&mut self, target: &TargetId, key: &AdapterKey, now: Time) {
-        let place = (target.clone(), key.clone());
-        self.doubts.insert(place, now + DOUBT);
+    /// Records that `target` reported `key` as missing.
+    pub fn record_missing(&mut self, target: &TargetId, key: &AdapterKey, now: Time) {
+        let entry = (target.clone(), key.clone());
+        self.missing_until.insert(entry, now + MISSING_BACKOFF);
     }
 
-    /// Forgets old doubts.
+    /// Removes old entries of missing adapters.
     pub fn sweep(&mut self, now: Time) {
-        self.doubts.retain(|_, until| now.since(*until) < DOUBT * 4);
+        self.missing_until
+            .retain(|_, until| now.since(*until) < MISSING_BACKOFF * 4);
     }
 
-    /// Forgets targets that are gone.
-    pub fn keep(&mut self, present: impl Fn(&TargetId) -> bool) {
-        self.engines.retain(|target, _| present(target));
+    /// Removes targets that no longer exist.
+    pub fn retain_targets(&mut self, is_present: impl Fn(&TargetId) -> bool) {
+        self.engines.retain(|target, _| is_present(target));
     }
 }
--- a/crates/gateway/src/decide/status.rs
+++ b/crates/gateway/src/decide/status.rs
@@ -3,7 +3,7 @@
 use bluebellstage_core::Revision;
 use serde::{Deserialize, Serialize};
 
-use super::loader::Places;
+use super::loader::AdapterSlots;
 use super::peers::Load;
 use super::quota::SpentWord;
 use super::rendezvous::ShortHash;
@@ -80,7 +80,7 @@
     /// Adapters that wait for one on engines of its shards.
     pub waiting_loads: u16,
     /// Places for adapters on the engines of its shards.
-    pub places: Vec<(ShortHash, Places)>,
+    pub places: Vec<(ShortHash, AdapterSlots)>,
     /// Loader shards on which it orders.
     pub shards: Vec<u8>,
     /// Loader shards that it holds, also while it may not order yet.
--- a/crates/gateway/src/decide/tables.rs
+++ b/crates/gateway/src/decide/tables.rs
@@ -6,16 +6,16 @@
 
 use bluebellstage_core::{Revision, ServiceId, TargetId, Time, WorkspaceId};
 
-use super::adapter::{AdapterKey, Wanted};
+use super::adapter::{AdapterKey, RequestedModel};
 use super::call::Call;
 use super::config::{Config, Route};
 use super::exchange::Exchange;
 use super::health::Health;
 use super::lease::SHARDS;
 use super::limits::Limits;
-use super::loader::Places;
+use super::loader::AdapterSlots;
 use super::peers::{Load, Member, Peer, Peers};
-use super::picking::ASKED_LASTS;
+use super::picking::LOAD_TARGET_TTL;
 use super::prompt_queues::{PromptQueues, WaitingKey};
 use super::quarantine::Quarantine;
 use super::quota::{Charged, Quotas, Sharing};
@@ -42,7 +42,7 @@
     /// Adapters that wait for a load.
     pub waiting: u16,
     /// Places for adapters on each engine.
-    pub places: HashMap<ShortHash, Places>,
+    pub places: HashMap<ShortHash, AdapterSlots>,
 }
 
 /// All that an instance knows.
@@ -281,7 +281,7 @@
         self.in_flight.iter().map(|(target, requests)| {
             let load = Load {
                 requests: *requests,
-                prompts: u32::try_from(self.queues.own(target)).unwrap_or(u32::MAX),
+                prompts: u32::try_from(self.queues.local_tokens(target)).unwrap_or(u32::MAX),
             };
             (target, load)
         })
@@ -291,7 +291,7 @@
     pub fn sent_prompt(&mut self, target: &TargetId, call: &Call, now: Time) -> WaitingKey {
         let others = self.peers.load(ShortHash::of(target.as_str())).prompts;
         self.queues
-            .sent(target, call.prompt.0, u64::from(others), now)
+            .record_sent(target, call.prompt.0, u64::from(others), now)
     }
 
     /// A request goes to a target.
@@ -331,20 +331,24 @@
         self.residency.sweep(now);
         self.retries.prune(self.budget.window, now);
         let registry = &self.registry;
-        self.health.keep(|target| registry.get(target).is_some());
+        self.health
+            .retain_targets(|target| registry.get(target).is_some());
         for target in self.limits.forget(|target| registry.get(target).is_none()) {
             self.quotas.close(&target);
         }
-        self.residency.keep(|target| registry.get(target).is_some());
-        self.asked.retain(|_, (_, at)| now.since(*at) < ASKED_LASTS);
-        self.queues.keep(|target| registry.get(target).is_some());
+        self.residency
+            .retain_targets(|target| registry.get(target).is_some());
+        self.asked
+            .retain(|_, (_, at)| now.since(*at) < LOAD_TARGET_TTL);
+        self.queues
+            .retain_targets(|target| registry.get(target).is_some());
     }
 
     /// Whether requests of this kind need an adapter loaded before they can run.
     #[must_use]
     pub fn adapter_of(call: &Call) -> Option<&super::adapter::AdapterKey> {
         match &call.wanted {
-            Some(Wanted::Adapter(key)) => Some(key),
+            Some(RequestedModel::Adapter(key)) => Some(key),
             _ => None,
         }
     }
--- a/crates/gateway/src/decide/target.rs
+++ b/crates/gateway/src/decide/target.rs
@@ -1,48 +1,49 @@
-//! Targets as they register themselves.
+//! Targets, as described by their registrations.
 
 use std::net::SocketAddr;
 
 use bluebellstage_core::{BaseModel, FailureDomain, ServiceId, TargetId};
 use serde::{Deserialize, Serialize};
 
-use super::adapter::AdapterAt;
+use super::adapter::VersionedAdapter;
 use super::rendezvous::ShortHash;
 
-/// A target as it last described itself.
+/// A target as described by its latest registration.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Target {
-    /// Its registered name.
+    /// Registered name.
     pub id: TargetId,
-    /// Start of this life in milliseconds of the target's own clock; tells two lives apart.
+    /// Start of the current incarnation in milliseconds of the target's own clock; distinguishes
+    /// two incarnations.
     pub born: Option<u64>,
-    /// The service that it belongs to.
+    /// Service that it belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Failure domain that it runs in.
     pub failure_domain: FailureDomain,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// It takes no new work.
+    /// Whether it is draining and takes no new requests.
     pub leaving: bool,
-    /// Base models that it holds.
+    /// Resident base models.
     pub models: Vec<BaseModel>,
-    /// Adapters that it holds.
-    pub adapters: Vec<AdapterAt>,
+    /// Resident adapters.
+    pub adapters: Vec<VersionedAdapter>,
     /// Base models that it can load without the weight store.
-    pub copies: Vec<BaseModel>,
+    pub cached_models: Vec<BaseModel>,
 }
 
 impl Target {
-    /// Names this life of it; none if it doesn't say when it started.
+    /// Returns a hash that identifies the current incarnation; `None` if the start time is unknown.
     #[must_use]
-    pub fn life(&self) -> Option<ShortHash> {
+    pub fn incarnation(&self) -> Option<ShortHash> {
         let born = self.born?;
         Some(ShortHash::of(&format!("{}/{born}", self.id)))
     }
 
-    /// Whether `other` says the same but for the adapters that it holds, which change all the time
-    /// and are told by its loader.
+    /// Returns whether `other` is equal except for the resident adapters, which change often and
+    /// are reported by the target's loader.
     #[must_use]
     pub fn differs_in_adapters_only(&self, other: &Self) -> bool {
         let bare = |target: &Self| Self {
--- a/crates/gateway/src/decide/versions.rs
+++ b/crates/gateway/src/decide/versions.rs
@@ -6,7 +6,7 @@
 use bluebellstage_core::{AdapterVersion, Time};
 use serde::{Deserialize, Serialize};
 
-use super::adapter::{AdapterAt, AdapterKey};
+use super::adapter::{AdapterKey, VersionedAdapter};
 
 /// How long an older version may still begin requests after a newer one was announced.
 ///
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Announcement {
     /// The adapter and its version.
-    pub adapter: AdapterAt,
+    pub adapter: VersionedAdapter,
     /// Time since it was announced; [`LONG_AGO`] at most.
     pub age: Duration,
 }
@@ -55,7 +55,7 @@
 
 impl Versions {
     /// Takes in an announcement made `age` ago; false if a newer version is known.
-    pub fn announce(&mut self, news: &AdapterAt, age: Duration, now: Time) -> bool {
+    pub fn announce(&mut self, news: &VersionedAdapter, age: Duration, now: Time) -> bool {
         let known = self.announced.entry(news.key.clone()).or_default();
         let newest = known.last().map(|last| last.version);
         if known.iter().any(|known| known.version == news.version) {
@@ -89,7 +89,7 @@
     pub fn all(&self, now: Time) -> impl Iterator<Item = Announcement> {
         self.announced.iter().flat_map(move |(key, known)| {
             known.iter().map(move |known| Announcement {
-                adapter: AdapterAt {
+                adapter: VersionedAdapter {
                     key: key.clone(),
                     version: known.version,
                 },
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -10,12 +10,12 @@
 use bytes::Bytes;
 use http::{HeaderMap, Request, StatusCode, request, response};
 
-use crate::decide::adapter::AdapterAt;
+use crate::decide::adapter::VersionedAdapter;
 use crate::decide::call::{AnswerHead, Call, Forward};
 use crate::decide::config::Config;
 pub use crate::decide::kind::Kind;
 use crate::decide::lease::LeaseRecord;
-use crate::decide::loader::{Order, OrderAnswer, Report};
+use crate::decide::loader::{Order, OrderOutcome, Report};
 use crate::decide::peers::Member;
 use crate::decide::quarantine::Verdict;
 use crate::decide::target::Target;
@@ -74,7 +74,7 @@
     ) -> Request<Bytes>;
 
     /// Decodes an engine's answer to an order.
-    fn order_answer(&self, status: StatusCode) -> OrderAnswer;
+    fn order_answer(&self, status: StatusCode) -> OrderOutcome;
 
     /// Whether a caller asks which addresses to use; the failure domain that it names.
     fn is_resolve(&self, head: &request::Parts) -> Option<Option<Box<str>>>;
@@ -104,7 +104,7 @@
     /// A target.
     Target(Box<Target>),
     /// An adapter's newest version.
-    AdapterVersion(AdapterAt),
+    AdapterVersion(VersionedAdapter),
     /// An instance.
     Member(Box<Member>),
     /// A lease.
--- a/crates/gateway/src/net/attempt.rs
+++ b/crates/gateway/src/net/attempt.rs
@@ -11,7 +11,7 @@
 
 use crate::decide::adapter::AdapterKey;
 use crate::decide::call::{AnswerHead, Call, Forward};
-use crate::decide::health::Met;
+use crate::decide::health::TargetOutcome;
 use crate::decide::limits::{Change, Said};
 use crate::decide::prompt_queues::WaitingKey;
 use crate::decide::tables::Tables;
@@ -52,11 +52,11 @@
             tables.begin_suspect(target);
         }
         if sending.trial {
-            tables.health.trial(target);
+            tables.health.start_trial(target);
         }
         let now = node.now();
         if let Some(key) = Tables::adapter_of(sending.call) {
-            tables.residency.sent(target, key, now);
+            tables.residency.record_sent(target, key, now);
         }
         let call = sending.call;
         let prompts = call.wanted.is_some();
@@ -90,21 +90,28 @@
     fn begun(&mut self) {
         self.answers_since = Some(self.node.now());
         if let Some(waiting) = self.waiting.take() {
-            self.node.tables().queues.began(waiting, self.node.now());
+            self.node
+                .tables()
+                .queues
+                .record_started(waiting, self.node.now());
         }
     }
 
     /// Notes what the request met; the first word counts.
-    pub(super) fn met(&mut self, met: Met) {
+    pub(super) fn met(&mut self, met: TargetOutcome) {
         if std::mem::replace(&mut self.judged, true) {
             return;
         }
         self.judge(met);
     }
 
-    fn judge(&self, met: Met) {
+    fn judge(&self, met: TargetOutcome) {
         let now = self.node.now();
-        let ejected = self.node.tables().health.met(&self.target, met, now);
+        let ejected = self
+            .node
+            .tables()
+            .health
+            .record_outcome(&self.target, met, now);
         if ejected {
             self.node.metrics.ejected();
             let target = self.target.to_string();
@@ -119,7 +126,7 @@
     /// Notes a failure, also after a good beginning.
     pub(super) fn failed(&mut self) {
         self.judged = true;
-        self.judge(Met::Failure);
+        self.judge(TargetOutcome::Failure);
     }
 
     fn failed_by(&self, failure: Failure) -> Attempt<E> {
@@ -147,10 +154,10 @@
             tables.end_suspect(&self.target);
         }
         if let Some(waiting) = self.waiting.take() {
-            tables.queues.gone(waiting);
+            tables.queues.remove(waiting);
         }
         if !self.judged {
-            tables.health.trial_void(&self.target);
+            tables.health.cancel_trial(&self.target);
         }
         drop(tables);
         self.tell_loader(WishKind::Ended);
@@ -264,13 +271,13 @@
             judge_head(sending, *parts, head, body, flight, connection)
         }
         Exchange::Unreachable => {
-            flight.met(Met::Unreachable);
+            flight.met(TargetOutcome::Unreachable);
             Attempt::Unreachable
         }
         Exchange::Failed(failure) => {
             let fair = failure != Failure::Silent || sending.patience > LEAST_FAIR_WAIT;
             if fair && failure != Failure::Outdated {
-                flight.met(Met::Failure);
+                flight.met(TargetOutcome::Failure);
             }
             flight.failed_by(failure)
         }
@@ -328,7 +335,7 @@
     let misdirected = parts.status.as_u16() == 421;
     let other = head.id.as_ref().is_some_and(|id| *id != sending.call.id);
     if other {
-        flight.met(Met::Failure);
+        flight.met(TargetOutcome::Failure);
         return flight.failed_by(Failure::WrongAnswer);
     }
     if head.not_run || misdirected {
@@ -336,7 +343,7 @@
     }
     let encoded = parts.headers.contains_key(http::header::CONTENT_ENCODING);
     if parts.status.is_success() && (!head.signed || head.id.is_none() || encoded) {
-        flight.met(Met::Failure);
+        flight.met(TargetOutcome::Failure);
         return flight.failed_by(Failure::WrongAnswer);
     }
     if parts.status.is_success() {
@@ -434,9 +441,9 @@
             Ok(Ok(body)) => {
                 let failed = parts.status.is_server_error();
                 flight.met(if failed {
-                    Met::Failure
+                    TargetOutcome::Failure
                 } else {
-                    Met::Answer(flight.age())
+                    TargetOutcome::Answer(flight.age())
                 });
                 keep(&flight, &head, connection);
                 return Ok((parts, body.to_bytes()));
@@ -444,7 +451,7 @@
             Ok(Err(_broken)) => Failure::Broken,
             Err(_elapsed) => Failure::Silent,
         };
-        flight.met(Met::Failure);
+        flight.met(TargetOutcome::Failure);
         let ran = flight.ran();
         Err(CutShort { failure, ran })
     }
--- a/crates/gateway/src/net/control.rs
+++ b/crates/gateway/src/net/control.rs
@@ -169,7 +169,9 @@
         for (_, target) in &mut registry.targets {
             target.adapters.clear();
             if starts {
-                target.adapters.extend(tables.residency.held(&target.id));
+                target
+                    .adapters
+                    .extend(tables.residency.adapters_at(&target.id));
             }
         }
         copy.targets = Some(registry);
--- a/crates/gateway/src/net/copying.rs
+++ b/crates/gateway/src/net/copying.rs
@@ -146,7 +146,7 @@
     if let Some(targets) = copy.targets {
         let holding = targets.targets.iter().map(|(_, target)| target);
         for target in holding.filter(|target| !target.adapters.is_empty()) {
-            tables.residency.registered(target, now);
+            tables.residency.apply_registration(target, now);
         }
         tables.registry.copy(targets, now);
     }
--- a/crates/gateway/src/net/ended.rs
+++ b/crates/gateway/src/net/ended.rs
@@ -117,7 +117,7 @@
 
 /// Names this life of a target; one that doesn't say when it started has one.
 fn life(target: &Target) -> ShortHash {
-    let life = target.life();
+    let life = target.incarnation();
     life.unwrap_or_else(|| ShortHash::of(target.id.as_str()))
 }
 
--- a/crates/gateway/src/net/front.rs
+++ b/crates/gateway/src/net/front.rs
@@ -12,7 +12,7 @@
 
 use crate::decide::call::{Call, Forward};
 use crate::decide::config::RouteKind;
-use crate::decide::load_wait::{ASK_AGAIN, LoadWait, load_wait};
+use crate::decide::load_wait::{LOAD_REQUEST_INTERVAL, LoadWaitAction, load_wait};
 use crate::decide::placement::Pick;
 use crate::decide::quarantine::{CutRun, Fingerprint};
 use crate::decide::tables::{Refusal, Tables, Ticket};
@@ -236,16 +236,16 @@
                 }
                 Pick::Load(target) => {
                     match self.load_wait(began, now) {
-                        LoadWait::Ask => self.wish(target, self.load_wish()),
-                        LoadWait::Wait => {}
-                        LoadWait::GiveUp => {
+                        LoadWaitAction::RequestLoad => self.wish(target, self.load_wish()),
+                        LoadWaitAction::Wait => {}
+                        LoadWaitAction::Refuse => {
                             self.log_attempt(&target, "adapter not loaded in time");
                             return self.unserved("its adapter could not be loaded in time");
                         }
                     }
                     self.node.loader_work.notify_waiters();
                     let changed = self.node.changed.notified();
-                    let _woken = tokio::time::timeout(ASK_AGAIN, changed).await;
+                    let _woken = tokio::time::timeout(LOAD_REQUEST_INTERVAL, changed).await;
                     self.load_waited += self.node.now().since(now);
                 }
                 Pick::Late { excess, load_at } => {
@@ -254,7 +254,7 @@
                 }
                 Pick::Full if now < full_until => tokio::time::sleep(FULL_PAUSE).await,
                 Pick::Full => return self.unserved("all targets are full"),
-                Pick::Nowhere => return self.unserved("no target can run it"),
+                Pick::NoTarget => return self.unserved("no target can run it"),
             }
         }
     }
@@ -265,9 +265,9 @@
         tables.pick_apart(request, &self.ticket, &self.call, &self.tried, draw, now)
     }
 
-    fn load_wait(&self, began: Time, now: Time) -> LoadWait {
+    fn load_wait(&self, began: Time, now: Time) -> LoadWaitAction {
         let route = self.ticket.route();
-        let crowded = self.node.tables().loads_crowded(&self.ticket, now);
+        let crowded = self.node.tables().is_loading_congested(&self.ticket, now);
         load_wait(
             now.since(began),
             self.call.patience.unwrap_or(route.timeout),
@@ -370,7 +370,7 @@
             Attempt::Answer(answered) => {
                 self.runs += 1;
                 if let Some(key) = Tables::adapter_of(&self.call) {
-                    self.node.tables().residency.proved(&target, key);
+                    self.node.tables().residency.record_success(&target, key);
                     self.node.changed.notify_waiters();
                 }
                 Some(Found::Answer(answered))
@@ -421,7 +421,10 @@
     fn not_held(&self, target: &TargetId) {
         if let Some(key) = Tables::adapter_of(&self.call) {
             let now = self.node.now();
-            self.node.tables().residency.missing(target, key, now);
+            self.node
+                .tables()
+                .residency
+                .record_missing(target, key, now);
         }
         self.wish(target.clone(), WishKind::Missing);
     }
--- a/crates/gateway/src/net/gossip.rs
+++ b/crates/gateway/src/net/gossip.rs
@@ -241,7 +241,7 @@
     for word in words {
         let adapters = word.adapters();
         let residency = &mut tables.residency;
-        if residency.told(&word.target, word.order, &adapters, now) {
+        if residency.apply_loader_update(&word.target, word.order, &adapters, now) {
             news.push(word);
         }
     }
--- a/crates/gateway/src/net/leases.rs
+++ b/crates/gateway/src/net/leases.rs
@@ -8,7 +8,7 @@
 
 use crate::decide::asking::lease_key;
 use crate::decide::lease::{LeaseRecord, LeaseStep, SHARDS, ShardLease};
-use crate::decide::loader::LATE_ORDER;
+use crate::decide::loader::MAX_ORDER_DELAY;
 use crate::decide::peers::Peer;
 use crate::decide::rendezvous::ShortHash;
 use crate::decide::tables::shard_of;
@@ -80,10 +80,12 @@
             let found = listing.objects.iter().find(|object| *object.name == *name);
             match found.map(|object| (object.revision, object.content.clone())) {
                 Some((revision, Some(Content::Lease(record)))) => {
-                    node.leases.lock(shard).read(Some((record, revision)), now);
+                    node.leases
+                        .lock(shard)
+                        .record_read(Some((record, revision)), now);
                 }
                 Some(_) => {}
-                None => node.leases.lock(shard).read(None, now),
+                None => node.leases.lock(shard).record_read(None, now),
             }
         }
     }
@@ -103,7 +105,7 @@
         let settled = settled(&node, shard, &before, now);
         let step = {
             let mut lease = node.leases.lock(shard);
-            lease.settle(settled);
+            lease.set_settled(settled);
             lease.step(wanted, now)
         };
         match step {
@@ -121,11 +123,11 @@
 fn settled<E: Edge>(node: &Node<E>, shard: u8, before: &[ShortHash], now: Time) -> Vec<ShortHash> {
     let ours = |target: &TargetId| shard_of(target) == shard;
     let tables = node.tables();
-    tables.registry.settled(ours, before, LATE_ORDER, now)
+    tables.registry.settled(ours, before, MAX_ORDER_DELAY, now)
 }
 
 fn holds<E: Edge>(node: &Node<E>, shard: u8) -> bool {
-    node.leases.lock(shard).holds(node.now())
+    node.leases.lock(shard).is_held(node.now())
 }
 
 /// This instance comes first for the shard among those that live, hear the store and hold none
@@ -158,11 +160,11 @@
     let mut lease = node.leases.lock(shard);
     match found {
         Ok(Some(object)) => match object.content {
-            Some(Content::Lease(record)) => lease.read(Some((record, object.revision)), now),
-            _ => lease.write_failed(false, now),
+            Some(Content::Lease(record)) => lease.record_read(Some((record, object.revision)), now),
+            _ => lease.record_write_failure(false, now),
         },
-        Ok(None) => lease.read(None, now),
-        Err(_away) => lease.write_failed(false, now),
+        Ok(None) => lease.record_read(None, now),
+        Err(_away) => lease.record_write_failure(false, now),
     }
 }
 
@@ -183,8 +185,8 @@
     let now = node.now();
     let mut lease = node.leases.lock(shard);
     match written {
-        Ok(revision) => lease.wrote(record, revision, sent, now),
-        Err(err) => lease.write_failed(err == StoreError::Conflict, now),
+        Ok(revision) => lease.record_write(record, revision, sent, now),
+        Err(err) => lease.record_write_failure(err == StoreError::Conflict, now),
     }
 }
 
@@ -192,7 +194,7 @@
 fn note<E: Edge>(node: &Node<E>, shard: u8) {
     let now = node.now();
     let may = node.leases.may_order(shard, now);
-    let holds = node.leases.lock(shard).holds(now);
+    let holds = node.leases.lock(shard).is_held(now);
     let mut tables = node.tables();
     tables.claims.retain(|held| *held != shard);
     if holds {
@@ -228,7 +230,7 @@
 pub(super) async fn release<E: Edge>(node: &Node<E>) {
     node.leases.given_up.store(true, Ordering::Relaxed);
     for shard in 0..SHARDS {
-        let released = node.leases.lock(shard).release(node.now());
+        let released = node.leases.lock(shard).release_record(node.now());
         let Some((record, at)) = released else {
             continue;
         };
@@ -238,7 +240,7 @@
         let written = node.store.write(Kind::Leases, &name, Some(at), &content);
         match written.await {
             Err(StoreError::Refused(_)) => node.tables().shards.push(shard),
-            Ok(_) | Err(_) => node.leases.lock(shard).forget(),
+            Ok(_) | Err(_) => node.leases.lock(shard).clear(),
         }
     }
 }
--- a/crates/gateway/src/net/loaders.rs
+++ b/crates/gateway/src/net/loaders.rs
@@ -8,9 +8,9 @@
 use bluebellstage_core::{TargetId, Time};
 
 use crate::decide::lease::SHARDS;
-use crate::decide::loader::{LoadStep, Loader, Order, OrderAnswer, OrderKind};
+use crate::decide::loader::{LoadStep, Loader, Order, OrderKind, OrderOutcome};
 use crate::decide::rendezvous::ShortHash;
-use crate::decide::residency::WordOrder;
+use crate::decide::residency::ResidencyVersion;
 use crate::decide::tables::{OwnLoads, Tables, shard_of};
 use crate::decide::target::Target;
 use crate::edge::{Edge, Protocol};
@@ -94,10 +94,10 @@
                 entry.askers.insert(from, now);
             }
             match wish.kind {
-                WishKind::Load(version) => entry.loader.wish(wish.key, version, now),
-                WishKind::Begun => entry.loader.begun(&wish.key, now),
-                WishKind::Ended => entry.loader.ended(&wish.key, now),
-                WishKind::Missing => entry.loader.missing(&wish.key, now),
+                WishKind::Load(version) => entry.loader.request_load(wish.key, version, now),
+                WishKind::Begun => entry.loader.request_started(&wish.key, now),
+                WishKind::Ended => entry.loader.request_ended(&wish.key, now),
+                WishKind::Missing => entry.loader.adapter_missing(&wish.key, now),
             }
         }
     }
@@ -113,11 +113,11 @@
         }
         entry.told = now;
         entry.word += 1;
-        let order = WordOrder {
+        let order = ResidencyVersion {
             fencing,
             count: entry.word,
         };
-        let adapters = entry.loader.holdings(now);
+        let adapters = entry.loader.usable_adapters(now);
         entry
             .askers
             .retain(|_, asked| now.since(*asked) < ASKED_LATELY);
@@ -131,7 +131,7 @@
         let active = running.iter().filter(|(_, entry)| entry.active);
         let places = active.map(|(id, entry)| {
             let hash = ShortHash::of(id.as_str());
-            (hash, entry.loader.places(now))
+            (hash, entry.loader.adapter_slots(now))
         });
         OwnLoads {
             under_way: u16::try_from(under_way).unwrap_or(u16::MAX),
@@ -146,7 +146,10 @@
         let active = running.values().filter(|entry| entry.active);
         let loaders = active.map(|entry| &entry.loader);
         loaders.fold((0, 0), |(loading, waiting), loader| {
-            (loading + loader.loading(), waiting + loader.waiting())
+            (
+                loading + loader.store_loads_in_progress(),
+                waiting + loader.waiting_adapters(),
+            )
         })
     }
 }
@@ -178,19 +181,24 @@
         if active || !tables.shards.contains(&shard_of(&target.id)) {
             continue;
         }
-        let known = target.life().is_some_and(|life| settled.contains(&life));
+        let known = target
+            .incarnation()
+            .is_some_and(|life| settled.contains(&life));
         let seen = tables.registry.life_since(&target.id);
         let seen = seen.filter(|_| !known);
-        let shown = running.values().map(|entry| entry.loader.copies()).min();
+        let shown = running
+            .values()
+            .map(|entry| entry.loader.host_copies())
+            .min();
         let mut loader = Loader::new(slots);
         if let Some(seen) = seen {
-            loader = loader.in_life_since(seen);
+            loader = loader.with_incarnation_since(seen);
         }
         if let Some(copies) = shown {
-            loader = loader.keeping(copies);
+            loader = loader.with_host_copies(copies);
         }
         if let Some(former) = former {
-            loader = loader.after(&former.loader);
+            loader = loader.with_previous_incarnation(&former.loader);
         }
         let entry = Running {
             loader,
@@ -275,7 +283,7 @@
         && rested
     {
         entry.model_asked = Some(now);
-        entry.loader.wish_model(model);
+        entry.loader.request_model_load(model);
     }
     if target.models.is_empty() && entry.model_asked.is_none() {
         return LoadStep::Idle;
@@ -307,7 +315,7 @@
     }
     let service = tables.routes.config().service(&target.service)?;
     let model = service.engine.as_ref()?.models.first()?;
-    if target.copies.contains(model) {
+    if target.cached_models.contains(model) {
         return Some(model.clone());
     }
     let holders = tables
@@ -342,7 +350,7 @@
     }
     let now = node.now();
     if let Some(entry) = node.loaders.lock().get_mut(&target.id) {
-        entry.loader.reported(report, now);
+        entry.loader.apply_report(report, now);
     }
 }
 
@@ -363,18 +371,18 @@
     let answered = call_target(node, &target.id, target.address, req, ORDER_WITHIN).await;
     let (answer, status) = match answered {
         Ok((status, _)) => (node.protocol.order_answer(status), status.to_string()),
-        Err(err) => (OrderAnswer::Unknown, err.to_string()),
+        Err(err) => (OrderOutcome::Unknown, err.to_string()),
     };
     node.metrics.ordered(answer.name());
     let stretch = stretch(node, target);
-    let [id, what] = [target.id.to_string(), describe(&order.what)];
-    let taken = matches!(answer, OrderAnswer::Accepted | OrderAnswer::Done);
+    let [id, what] = [target.id.to_string(), describe(&order.kind)];
+    let taken = matches!(answer, OrderOutcome::Accepted | OrderOutcome::Done);
     let told = if taken {
         LogEvent::OrderSent
     } else {
         LogEvent::OrderFailed
     };
-    let expected = order.expected.to_string();
+    let expected = order.expected_accepted.to_string();
     event(
         told,
         &[
@@ -386,7 +394,7 @@
     );
     let now = node.now();
     if let Some(entry) = node.loaders.lock().get_mut(&target.id) {
-        entry.loader.answered(order, answer, stretch, now);
+        entry.loader.record_outcome(order, answer, stretch, now);
     }
     true
 }
@@ -427,7 +435,9 @@
     };
     let adapters = word.adapters();
     let mut tables = node.tables();
-    tables.residency.told(id, word.order, &adapters, now);
+    tables
+        .residency
+        .apply_loader_update(id, word.order, &adapters, now);
     drop(tables);
     for asker in askers {
         let packet = Packet::Holdings(vec![word.clone()]);
--- a/crates/gateway/src/net/stream.rs
+++ b/crates/gateway/src/net/stream.rs
@@ -10,7 +10,7 @@
 use hyper::body::Frame;
 
 use crate::decide::event_stream::{Cut, EventCutter};
-use crate::decide::health::Met;
+use crate::decide::health::TargetOutcome;
 use crate::edge::Edge;
 
 use super::attempt::{Answer, CutShort, Source};
@@ -114,7 +114,7 @@
             && first
         {
             let age = source.flight.age();
-            source.flight.met(Met::Answer(age));
+            source.flight.met(TargetOutcome::Answer(age));
         }
     }
 
--- a/crates/gateway/src/net/sync.rs
+++ b/crates/gateway/src/net/sync.rs
@@ -5,7 +5,7 @@
 
 use bluebellstage_core::{InstanceId, Revision, TargetId};
 
-use crate::decide::adapter::AdapterAt;
+use crate::decide::adapter::VersionedAdapter;
 use crate::decide::target::Target;
 use crate::decide::versions::LONG_AGO;
 use crate::edge::{Content, Edge, Kind, Listing, Object, ObjectStore};
@@ -58,7 +58,7 @@
     let now = node.now();
     let mut tables = node.tables();
     for target in &targets {
-        tables.residency.registered(target, now);
+        tables.residency.apply_registration(target, now);
     }
     tables.registry.replace(targets, revision, now);
     drop(tables);
@@ -131,7 +131,12 @@
 }
 
 /// Takes in a version announced `age` ago and says where the news came `from`, the store or a peer.
-pub(super) fn announce<E: Edge>(node: &Node<E>, news: &AdapterAt, age: Duration, from: &str) {
+pub(super) fn announce<E: Edge>(
+    node: &Node<E>,
+    news: &VersionedAdapter,
+    age: Duration,
+    from: &str,
+) {
     let now = node.now();
     if !node.tables().versions.announce(news, age, now) {
         return;
@@ -161,7 +166,7 @@
         let [id, address] = [target.id.to_string(), target.address.to_string()];
         event(told, &[("target", &id), ("address", &address)]);
     }
-    tables.residency.registered(&target, now);
+    tables.residency.apply_registration(&target, now);
     tables.registry.put(target, revision, now);
 }
 
--- a/crates/gateway/src/packet.rs
+++ b/crates/gateway/src/packet.rs
@@ -7,10 +7,10 @@
 use bluebellstage_core::{AdapterId, AdapterVersion, BaseModel, TargetId};
 use serde::{Deserialize, Serialize};
 
-use crate::decide::adapter::{AdapterAt, AdapterKey};
+use crate::decide::adapter::{AdapterKey, VersionedAdapter};
 use crate::decide::exchange::Message;
 use crate::decide::quarantine::Word;
-use crate::decide::residency::WordOrder;
+use crate::decide::residency::ResidencyVersion;
 
 /// Longest datagram that is read.
 pub const MAX_DATAGRAM_BYTES: usize = 16 * 1_024;
@@ -120,7 +120,7 @@
     /// The engine.
     pub target: TargetId,
     /// Place among all such words on this engine.
-    pub order: WordOrder,
+    pub order: ResidencyVersion,
     /// Adapters that can be used, by their base model.
     pub models: Vec<(BaseModel, Vec<(AdapterId, u32)>)>,
 }
@@ -128,7 +128,7 @@
 impl Holdings {
     /// Packs the adapters of an engine.
     #[must_use]
-    pub fn new(target: TargetId, order: WordOrder, adapters: Vec<AdapterAt>) -> Self {
+    pub fn new(target: TargetId, order: ResidencyVersion, adapters: Vec<VersionedAdapter>) -> Self {
         let mut models = Vec::<(BaseModel, Vec<_>)>::new();
         for held in adapters {
             let version = u32::try_from(held.version.0).unwrap_or(u32::MAX);
@@ -161,11 +161,11 @@
 
     /// The adapters, unpacked.
     #[must_use]
-    pub fn adapters(&self) -> Vec<AdapterAt> {
+    pub fn adapters(&self) -> Vec<VersionedAdapter> {
         let models = self.models.iter();
         models
             .flat_map(|(model, adapters)| {
-                adapters.iter().map(|(adapter, version)| AdapterAt {
+                adapters.iter().map(|(adapter, version)| VersionedAdapter {
                     key: AdapterKey {
                         model: model.clone(),
                         adapter: adapter.clone(),
--- a/crates/gateway/tests/lease.rs
+++ b/crates/gateway/tests/lease.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bluebellstage_core::{InstanceId, Revision, Time};
-use bluebellstage_gateway::decide::lease::{LEASE, LeaseRecord, LeaseStep, ShardLease};
+use bluebellstage_gateway::decide::lease::{LEASE_DURATION, LeaseRecord, LeaseStep, ShardLease};
 use support::at;
 
 const HANDOVER: Duration = Duration::from_millis(3_150);
@@ -14,7 +14,7 @@
     ShardLease::new(InstanceId::try_from(name).unwrap(), HANDOVER)
 }
 
-/// The object in the store.
+/// The lease object in the store.
 #[derive(Default)]
 struct Store {
     object: Option<(LeaseRecord, Revision)>,
@@ -31,14 +31,14 @@
         Some(next)
     }
 
-    /// Carries one step of an instance out.
+    /// Carries out one step of an instance.
     fn run(&mut self, lease: &mut ShardLease, wanted: bool, now: Time) {
         match lease.step(wanted, now) {
             LeaseStep::Sleep(_) => {}
-            LeaseStep::Read => lease.read(self.object.clone(), now),
+            LeaseStep::Read => lease.record_read(self.object.clone(), now),
             LeaseStep::Write(record, at) => match self.write(&record, at) {
-                Some(revision) => lease.wrote(record, revision, now, now),
-                None => lease.write_failed(true, now),
+                Some(revision) => lease.record_write(record, revision, now, now),
+                None => lease.record_write_failure(true, now),
             },
         }
     }
@@ -51,42 +51,43 @@
 }
 
 #[test]
-fn the_first_instance_orders_at_once() {
+fn the_first_instance_may_order_immediately() {
     let mut store = Store::default();
     let mut first = lease("one");
     take(&mut store, &mut first, at(0));
     assert_eq!(first.may_order(at(0)), Some(1));
 }
 
-/// Two instances order loads on one engine. The first was suspended, its monotonic clock stood
-/// still, and when it woke its lease looked fresh though another one had taken over.
+/// Guards against two instances that order loads on one engine. The first was suspended and its
+/// monotonic clock stopped, so on resume its lease looked fresh although another instance had taken
+/// over.
 #[test]
-fn a_suspended_holder_wakes_without_its_lease() {
+fn a_suspended_holder_resumes_without_its_lease() {
     let mut store = Store::default();
     let mut first = lease("one");
     let mut second = lease("two");
     take(&mut store, &mut first, at(0));
-    let mut acted_together = 0;
+    let mut concurrent_steps = 0;
     for ms in (0..20_000).step_by(50) {
         store.run(&mut second, true, at(ms));
         let both = first.may_order(at(ms)).is_some() && second.may_order(at(ms)).is_some();
-        acted_together += u32::from(both);
+        concurrent_steps += u32::from(both);
     }
-    assert_eq!(acted_together, 0);
+    assert_eq!(concurrent_steps, 0);
     assert_eq!(first.may_order(at(20_000)), None);
     assert_eq!(second.may_order(at(20_000)), Some(2));
 }
 
-/// Orders of two holders reach an engine within the span in which they may not take turns: the new
-/// one acted as soon as the store had its name.
+/// Guards against orders of two holders that reach an engine within the handover time: the new
+/// holder sent orders as soon as its lease was written to the store.
 #[test]
-fn a_new_holder_leaves_a_pause_after_the_last_order() {
+fn a_new_holder_waits_for_the_handover_after_the_last_order() {
     let mut store = Store::default();
     let mut first = lease("one");
     let mut second = lease("two");
     take(&mut store, &mut first, at(0));
-    let (record, revision) = first.release(at(100)).unwrap();
-    first.forget();
+    let (record, revision) = first.release_record(at(100)).unwrap();
+    first.clear();
     store.write(&record, Some(revision));
     let mut first_order = None;
     for ms in (101..6_000).step_by(10) {
@@ -99,28 +100,28 @@
     assert!((3_251..3_300).contains(&first_order), "{first_order}");
 }
 
-/// A planned restart of a holder: the engines of its shard load nothing for three seconds, though the
-/// same instance is back after one and has nobody to wait for.
+/// Guards against engines that load nothing for three seconds at a planned restart of their holder,
+/// although the same instance is back after one second and need not wait for another holder.
 #[test]
-fn one_that_gave_its_lease_up_to_restart_goes_on_at_once() {
+fn a_holder_that_released_its_lease_to_restart_continues_immediately() {
     let mut store = Store::default();
     let mut first = lease("one");
     let mut second = lease("two");
     take(&mut store, &mut first, at(0));
-    let (record, revision) = first.release(at(100)).unwrap();
+    let (record, revision) = first.release_record(at(100)).unwrap();
     store.write(&record, Some(revision));
     for ms in (101..1_200).step_by(10) {
         store.run(&mut second, true, at(ms));
     }
-    let mut reborn = lease("one");
-    reborn.read(store.object.clone(), at(1_200));
+    let mut restarted = lease("one");
+    restarted.record_read(store.object.clone(), at(1_200));
     for ms in [1_201, 1_202] {
-        store.run(&mut reborn, false, at(ms));
+        store.run(&mut restarted, false, at(ms));
     }
-    assert!(reborn.may_order(at(1_203)).is_some());
+    assert!(restarted.may_order(at(1_203)).is_some());
     for ms in (1_210..12_000).step_by(10) {
         if ms % 500 == 0 {
-            store.run(&mut reborn, true, at(ms));
+            store.run(&mut restarted, true, at(ms));
         }
         store.run(&mut second, true, at(ms));
         assert_eq!(second.may_order(at(ms)), None, "at {ms}");
@@ -128,38 +129,38 @@
 }
 
 #[test]
-fn a_restarted_holder_goes_on_at_once() {
+fn a_restarted_holder_continues_immediately() {
     let mut store = Store::default();
     let mut first = lease("one");
     take(&mut store, &mut first, at(0));
-    let mut reborn = lease("one");
-    reborn.read(store.object.clone(), at(999));
+    let mut restarted = lease("one");
+    restarted.record_read(store.object.clone(), at(999));
     for ms in [1_000, 1_001, 1_002] {
-        store.run(&mut reborn, false, at(ms));
+        store.run(&mut restarted, false, at(ms));
     }
-    assert_eq!(reborn.may_order(at(1_003)), Some(2));
+    assert_eq!(restarted.may_order(at(1_003)), Some(2));
 }
 
-/// The store is away for seconds: drafts whose adapters must be loaded go on being served, because
-/// nobody can take over meanwhile.
+/// Guards against refusing requests whose adapters must be loaded while the store is unavailable
+/// for seconds: no other instance can take over meanwhile.
 #[test]
-fn a_holder_acts_on_while_the_store_is_away_for_less_than_the_lease() {
+fn a_holder_keeps_its_lease_during_a_store_outage_shorter_than_the_lease() {
     let mut store = Store::default();
     let mut first = lease("one");
     take(&mut store, &mut first, at(0));
     let LeaseStep::Write(..) = first.step(true, at(2_500)) else {
         panic!("a renewal is due");
     };
-    first.write_failed(false, at(3_700));
+    first.record_write_failure(false, at(3_700));
     assert!(first.may_order(at(5_000)).is_some());
-    let expired = at(0) + LEASE;
+    let expired = at(0) + LEASE_DURATION;
     assert_eq!(first.may_order(expired), None);
 }
 
-/// A renewal without an answer took effect after all: the next one conflicts. The holder must not
-/// go on by its old record, and must not wait out a handover from itself.
+/// A renewal without a response took effect after all, and the next one conflicts. The holder must
+/// not go on with its old record, and must not wait out a handover from itself.
 #[test]
-fn a_renewal_whose_answer_was_lost_is_found_by_reading() {
+fn a_renewal_whose_response_was_lost_is_detected_by_reading() {
     let mut store = Store::default();
     let mut first = lease("one");
     take(&mut store, &mut first, at(0));
@@ -167,39 +168,41 @@
         panic!("a renewal is due");
     };
     store.write(&record, revision);
-    first.write_failed(false, at(3_700));
+    first.record_write_failure(false, at(3_700));
     for ms in [4_000, 4_200, 4_400, 4_600] {
         store.run(&mut first, true, at(ms));
     }
     assert!(first.may_order(at(4_700)).is_some());
 }
 
-/// The engines of a shard load nothing for many seconds after their holder was removed for good.
+/// Guards against engines that load nothing for many seconds after their holder was removed for
+/// good.
 #[test]
-fn a_lost_holder_is_replaced_as_soon_as_its_orders_are_surely_old() {
+fn a_lost_holder_is_replaced_once_its_orders_must_have_expired() {
     let mut store = Store::default();
     let mut first = lease("one");
     let mut second = lease("two");
     take(&mut store, &mut first, at(0));
-    let mut taken = None;
+    let mut taken_over_at = None;
     for ms in (1_000..30_000).step_by(50) {
         store.run(&mut second, true, at(ms));
-        if taken.is_none() && second.may_order(at(ms)).is_some() {
-            taken = Some(at(ms));
+        if taken_over_at.is_none() && second.may_order(at(ms)).is_some() {
+            taken_over_at = Some(at(ms));
         }
     }
-    let taken = taken.unwrap().since(at(1_000));
-    let surely = LEASE + HANDOVER;
+    let taken_over_at = taken_over_at.unwrap().since(at(1_000));
+    let min_delay = LEASE_DURATION + HANDOVER;
     assert!(
-        taken >= surely && taken < surely + Duration::from_millis(1_500),
-        "{taken:?}"
+        taken_over_at >= min_delay && taken_over_at < min_delay + Duration::from_millis(1_500),
+        "{taken_over_at:?}"
     );
 }
 
-/// After a restart of all instances each engine had two of six places kept free for 13 s, for orders to
-/// a former life that had ended long before: nobody knew any more when the present one began.
+/// Guards against reserving two of six slots of each engine for 13 s after a restart of all
+/// instances, for orders to a previous incarnation that had ended long before: no instance knew any
+/// more when the current one had started.
 #[test]
-fn lives_that_began_long_ago_are_told_to_whoever_holds_the_lease_next() {
+fn settled_incarnations_are_passed_on_to_the_next_holder() {
     let mut tables = support::tables();
     for name in ["e0", "e1"] {
         let engine = support::target(name, "writers");
@@ -207,19 +210,19 @@
     }
     let age = Duration::from_secs(13);
     let all = |_: &bluebellstage_core::TargetId| true;
-    let young = tables.registry.settled(all, &[], age, at(12_000));
-    assert_eq!(young, []);
-    let lives = tables.registry.settled(all, &[], age, at(14_000));
-    assert_eq!(lives.len(), 2);
+    let too_recent = tables.registry.settled(all, &[], age, at(12_000));
+    assert_eq!(too_recent, []);
+    let incarnations = tables.registry.settled(all, &[], age, at(14_000));
+    assert_eq!(incarnations.len(), 2);
 
     let mut store = Store::default();
     let mut first = lease("one");
     take(&mut store, &mut first, at(14_000));
-    first.settle(lives.clone());
+    first.set_settled(incarnations.clone());
     store.run(&mut first, true, at(16_000));
-    let mut reborn = lease("one");
-    take(&mut store, &mut reborn, at(17_000));
-    assert_eq!(reborn.settled(), lives);
+    let mut restarted = lease("one");
+    take(&mut store, &mut restarted, at(17_000));
+    assert_eq!(restarted.settled(), incarnations);
 
     let mut fresh = support::tables();
     for name in ["e0", "e1"] {
@@ -231,7 +234,7 @@
     }
     let known = fresh
         .registry
-        .settled(all, reborn.settled(), age, at(17_100));
-    let unchanged = support::target("e0", "writers").life();
+        .settled(all, restarted.settled(), age, at(17_100));
+    let unchanged = support::target("e0", "writers").incarnation();
     assert_eq!(known, Vec::from_iter(unchanged));
 }
