--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -6,11 +6,11 @@
 
 use bluebellstage_core::{AdapterVersion, Revision, TargetId, Time};
 use bluebellstage_gateway::decide::call::Call;
-use bluebellstage_gateway::decide::health::Met;
-use bluebellstage_gateway::decide::loader::Places;
+use bluebellstage_gateway::decide::health::TargetOutcome;
+use bluebellstage_gateway::decide::loader::AdapterSlots;
 use bluebellstage_gateway::decide::placement::Pick;
 use bluebellstage_gateway::decide::rendezvous::ShortHash;
-use bluebellstage_gateway::decide::residency::WordOrder;
+use bluebellstage_gateway::decide::residency::ResidencyVersion;
 use bluebellstage_gateway::decide::tables::{Refusal, Tables, shard_of};
 use bluebellstage_gateway::decide::versions::LONG_AGO;
 use support::{adapter, adapter_at, at, call, draft, tables, target};
@@ -19,22 +19,24 @@
     TargetId::try_from(name).unwrap()
 }
 
-fn writers(tables: &mut Tables, count: usize) {
+fn add_writers(tables: &mut Tables, count: usize) {
     for idx in 0..count {
         let target = target(&format!("e{idx}"), "writers");
-        tables.residency.registered(&target, at(0));
+        tables.residency.apply_registration(&target, at(0));
         tables.registry.put(target, Revision(1), at(0));
     }
     tables.shards = vec![0, 1, 2, 3];
 }
 
-fn holds(tables: &mut Tables, engine: &str, name: &str, version: u64) {
-    let order = WordOrder {
+fn set_resident(tables: &mut Tables, engine: &str, name: &str, version: u64) {
+    let order = ResidencyVersion {
         fencing: 1,
         count: version,
     };
     let adapters = [adapter_at(name, version)];
-    tables.residency.told(&id(engine), order, &adapters, at(0));
+    tables
+        .residency
+        .apply_loader_update(&id(engine), order, &adapters, at(0));
 }
 
 fn pick(tables: &mut Tables, call: &Call, draw: f64, now: Time) -> Pick {
@@ -50,10 +52,10 @@
 }
 
 #[test]
-fn a_draft_goes_where_its_adapter_is() {
+fn a_draft_goes_to_the_engine_that_holds_its_adapter() {
     let mut tables = tables();
-    writers(&mut tables, 9);
-    holds(&mut tables, "e4", "a1", 1);
+    add_writers(&mut tables, 9);
+    set_resident(&mut tables, "e4", "a1", 1);
     let pick = pick(&mut tables, &draft("a1"), 0.5, at(1));
     assert_eq!(sent_to(&pick), "e4");
 }
@@ -61,21 +63,21 @@
 #[test]
 fn all_instances_load_an_adapter_on_the_same_engine() {
     let mut tables = tables();
-    writers(&mut tables, 9);
+    add_writers(&mut tables, 9);
     let first = pick(&mut tables, &draft("a1"), 0.1, at(1));
     let second = pick(&mut tables, &draft("a1"), 0.9, at(1));
     assert!(matches!(first, Pick::Load(_)));
     assert_eq!(first, second);
 }
 
-/// Engines fall over each other's requests: 75 instances hear of each other three times a second
-/// and all took the first engine that had room.
+/// Guards against overloading one engine: 75 instances receive each other's updates three times a
+/// second and all chose the first engine with free capacity.
 #[test]
-fn copies_of_a_hot_adapter_are_drawn_by_their_room() {
+fn replicas_of_a_hot_adapter_are_chosen_by_free_capacity() {
     let mut tables = tables();
-    writers(&mut tables, 3);
+    add_writers(&mut tables, 3);
     for engine in ["e0", "e1", "e2"] {
-        holds(&mut tables, engine, "a1", 1);
+        set_resident(&mut tables, engine, "a1", 1);
     }
     let mut counts = std::collections::BTreeMap::<String, u32>::new();
     for draw in 0..100 {
@@ -86,10 +88,10 @@
 }
 
 #[test]
-fn a_full_engine_sends_on_and_asks_for_another_copy() {
+fn a_full_engine_still_gets_requests_and_a_replica_is_requested() {
     let mut tables = tables();
-    writers(&mut tables, 3);
-    holds(&mut tables, "e1", "a1", 1);
+    add_writers(&mut tables, 3);
+    set_resident(&mut tables, "e1", "a1", 1);
     for _ in 0..4 {
         tables.begin(&id("e1"));
     }
@@ -104,13 +106,13 @@
     assert_ne!(load_at[0], id("e1"));
 }
 
-/// A mother gets a clause by the old weights, long after the operators were told that the new ones
-/// are in force.
+/// Guards against requests that run on old weights long after the operators were told that the new
+/// ones are in force.
 #[test]
-fn an_old_version_is_not_begun_once_its_grace_is_over() {
+fn an_old_version_gets_no_requests_after_its_grace_period() {
     let mut tables = tables();
-    writers(&mut tables, 2);
-    holds(&mut tables, "e0", "a1", 1);
+    add_writers(&mut tables, 2);
+    set_resident(&mut tables, "e0", "a1", 1);
     tables
         .versions
         .announce(&adapter_at("a1", 2), Duration::ZERO, at(0));
@@ -118,19 +120,20 @@
     assert!(matches!(&early, Pick::Send { load_at, .. } if load_at == &[id("e1")]));
     let late = pick(&mut tables, &draft("a1"), 0.5, at(3_000));
     assert_eq!(late, Pick::Load(id("e1")));
-    holds(&mut tables, "e1", "a1", 2);
+    set_resident(&mut tables, "e1", "a1", 2);
     let Pick::Send { version, .. } = pick(&mut tables, &draft("a1"), 0.5, at(3_001)) else {
         panic!("not sent");
     };
     assert_eq!(version, Some(AdapterVersion(2)));
 }
 
-/// Guards against a further announcement that gives a version new grace which lost it long ago.
+/// Guards against a further announcement that renews the grace period of a version which lost it
+/// long ago.
 #[test]
-fn a_second_announcement_leaves_the_first_versions_grace_over() {
+fn a_second_announcement_does_not_renew_the_first_versions_grace_period() {
     let mut tables = tables();
-    writers(&mut tables, 2);
-    holds(&mut tables, "e0", "a1", 1);
+    add_writers(&mut tables, 2);
+    set_resident(&mut tables, "e0", "a1", 1);
     tables
         .versions
         .announce(&adapter_at("a1", 2), Duration::ZERO, at(0));
@@ -145,10 +148,10 @@
     assert!(by.is_some_and(|by| by < at(5_000)));
 }
 
-/// Guards against new grace for an old version at each instance that hears late of its successor, or
-/// restarts.
+/// Guards against a new grace period for an old version at each instance that learns late of its
+/// successor, or restarts.
 #[test]
-fn an_announcement_counts_from_when_it_was_made_not_heard() {
+fn the_grace_period_starts_when_a_version_is_announced_not_received() {
     let mut first = tables();
     let key = adapter("a1");
     first
@@ -169,9 +172,9 @@
     assert!(!versions.may_begin(&key, AdapterVersion(1), Duration::ZERO, at(50_000)));
 }
 
-/// Guards against an older announcement that is heard after a newer one.
+/// Guards against an older announcement that is received after a newer one.
 #[test]
-fn announcements_heard_out_of_order_keep_their_ages() {
+fn announcements_received_out_of_order_keep_their_ages() {
     let mut tables = tables();
     let key = adapter("a1");
     let versions = &mut tables.versions;
@@ -185,29 +188,30 @@
     assert_eq!(by(3), None);
 }
 
-/// A guarantee is drafted by the old weights, 5.1 s after the new ones were announced. The request
-/// was sent to them in time, but waited behind others' prompts at an engine whose queue was long.
+/// Guards against a request that runs on old weights 5.1 s after the new ones were announced. It
+/// was sent in time, but waited behind others' prompts at an engine with a long queue.
 #[test]
-fn an_old_version_gets_nothing_that_waits_past_its_grace() {
+fn an_old_version_gets_no_request_that_would_wait_past_its_grace_period() {
     let mut tables = tables();
-    writers(&mut tables, 2);
-    holds(&mut tables, "e0", "a1", 1);
+    add_writers(&mut tables, 2);
+    set_resident(&mut tables, "e0", "a1", 1);
     tables
         .versions
         .announce(&adapter_at("a1", 2), Duration::ZERO, at(0));
     let soon = pick(&mut tables, &draft("a1"), 0.5, at(1_500));
     assert_eq!(sent_to(&soon), "e0");
-    let waiting = tables.queues.sent(&id("e0"), 1_000, 0, at(100));
+    let waiting = tables.queues.record_sent(&id("e0"), 1_000, 0, at(100));
     let slow = pick(&mut tables, &draft("a1"), 0.5, at(1_500));
     assert_eq!(slow, Pick::Load(id("e1")));
-    tables.queues.began(waiting, at(1_600));
+    tables.queues.record_started(waiting, at(1_600));
     let remembered = pick(&mut tables, &draft("a1"), 0.5, at(1_700));
     assert_eq!(remembered, Pick::Load(id("e1")));
 }
 
-/// The same, where the newer version was announced only after the request had been sent.
+/// Guards against the same failure if the newer version is announced only after the request was
+/// sent.
 #[test]
-fn a_request_that_has_not_begun_on_an_old_version_is_taken_back_in_time() {
+fn a_request_that_has_not_started_on_an_old_version_is_withdrawn_in_time() {
     let mut tables = tables();
     let key = adapter("a1");
     let by = |tables: &Tables, version| {
@@ -223,47 +227,47 @@
     assert_eq!(by(&tables, 2), None);
 }
 
-/// Dozens of requests wait for a hot adapter that comes late; all were refused at once, again and
-/// again, and used up the budget for repeats.
+/// Guards against dozens of requests for a hot adapter that is loaded late: all were refused at
+/// once, repeatedly, and used up the retry budget.
 #[test]
-fn one_request_tests_an_adapter_that_was_found_missing() {
+fn one_request_probes_an_adapter_that_was_found_missing() {
     let mut tables = tables();
-    writers(&mut tables, 1);
-    holds(&mut tables, "e0", "a1", 1);
+    add_writers(&mut tables, 1);
+    set_resident(&mut tables, "e0", "a1", 1);
     let key = adapter("a1");
-    tables.residency.missing(&id("e0"), &key, at(0));
+    tables.residency.record_missing(&id("e0"), &key, at(0));
     assert!(matches!(
         pick(&mut tables, &draft("a1"), 0.5, at(10)),
         Pick::Load(_)
     ));
     assert_eq!(sent_to(&pick(&mut tables, &draft("a1"), 0.5, at(61))), "e0");
-    tables.residency.sent(&id("e0"), &key, at(61));
+    tables.residency.record_sent(&id("e0"), &key, at(61));
     assert!(matches!(
         pick(&mut tables, &draft("a1"), 0.5, at(62)),
         Pick::Load(_)
     ));
-    tables.residency.proved(&id("e0"), &key);
+    tables.residency.record_success(&id("e0"), &key);
     assert_eq!(sent_to(&pick(&mut tables, &draft("a1"), 0.5, at(63))), "e0");
 }
 
-/// Every answer of a heavy day is late: engines take all that comes, and each request stands behind a
-/// second of others' prompts.
+/// Guards against late responses to all requests under heavy load: engines accept all requests, and
+/// each one waits behind a second of others' prompts.
 #[test]
-fn a_request_that_would_begin_too_late_is_refused_at_once() {
+fn a_request_that_would_start_too_late_is_refused_immediately() {
     let mut tables = tables();
-    writers(&mut tables, 1);
-    holds(&mut tables, "e0", "a1", 1);
-    let known = tables.queues.sent(&id("e0"), 1_000, 0, at(0));
-    tables.queues.began(known, at(100));
+    add_writers(&mut tables, 1);
+    set_resident(&mut tables, "e0", "a1", 1);
+    let known = tables.queues.record_sent(&id("e0"), 1_000, 0, at(0));
+    tables.queues.record_started(known, at(100));
     for _request in 0..6 {
-        tables.queues.sent(&id("e0"), 1_000, 0, at(200));
+        tables.queues.record_sent(&id("e0"), 1_000, 0, at(200));
     }
     assert_eq!(
         sent_to(&pick(&mut tables, &draft("a1"), 0.5, at(201))),
         "e0"
     );
     for _request in 0..3 {
-        tables.queues.sent(&id("e0"), 1_000, 0, at(201));
+        tables.queues.record_sent(&id("e0"), 1_000, 0, at(201));
     }
     let late = pick(&mut tables, &draft("a1"), 0.5, at(202));
     let Pick::Late { excess, .. } = late else {
@@ -276,19 +280,19 @@
     );
 }
 
-/// A hot adapter's engine reads prompts for seconds while others idle: a fifth of its slots is taken,
-/// so it did not count as full.
+/// Guards against a hot adapter's engine that processes prompts for seconds while others idle: only
+/// a fifth of its slots was taken, so it did not count as full.
 #[test]
-fn an_engine_whose_prompts_wait_too_long_is_full() {
+fn an_engine_with_a_long_prompt_queue_counts_as_full() {
     let mut tables = tables();
-    writers(&mut tables, 3);
+    add_writers(&mut tables, 3);
     for engine in ["e0", "e1"] {
-        holds(&mut tables, engine, "a1", 1);
-        let known = tables.queues.sent(&id(engine), 1_000, 0, at(0));
-        tables.queues.began(known, at(100));
+        set_resident(&mut tables, engine, "a1", 1);
+        let known = tables.queues.record_sent(&id(engine), 1_000, 0, at(0));
+        tables.queues.record_started(known, at(100));
     }
     for _request in 0..5 {
-        tables.queues.sent(&id("e0"), 1_000, 0, at(200));
+        tables.queues.record_sent(&id("e0"), 1_000, 0, at(200));
     }
     for draw in [0.0, 0.5, 0.99] {
         assert_eq!(
@@ -297,7 +301,7 @@
         );
     }
     for _request in 0..6 {
-        tables.queues.sent(&id("e1"), 1_000, 0, at(201));
+        tables.queues.record_sent(&id("e1"), 1_000, 0, at(201));
     }
     let Pick::Send { load_at, .. } = pick(&mut tables, &draft("a1"), 0.5, at(202)) else {
         panic!("not sent");
@@ -305,76 +309,81 @@
     assert_eq!(load_at, [id("e2")]);
 }
 
-fn places(tables: &mut Tables, engine: &str, free: u8, waiting: u8) {
-    let places = Places {
+fn set_adapter_slots(tables: &mut Tables, engine: &str, free: u8, waiting_adapters: u8) {
+    let slots = AdapterSlots {
         free,
-        waiting,
-        copies: 36,
+        waiting_adapters,
+        host_copies: 36,
     };
-    tables.loads.places.insert(ShortHash::of(engine), places);
+    tables.loads.places.insert(ShortHash::of(engine), slots);
 }
 
-/// The engine that all ask for an adapter at, and the others in some order.
+/// Returns the engine that all instances send load requests for the adapter to, and the others in
+/// some order.
 fn first_and_others(tables: &mut Tables) -> (String, Vec<String>) {
     let Pick::Load(first) = pick(tables, &draft("a1"), 0.5, at(0)) else {
-        panic!("not to be loaded");
+        panic!("no load was requested");
     };
     let all = (0..9).map(|idx| format!("e{idx}"));
     let others = all.filter(|name| *name != first.as_str()).collect();
     (first.to_string(), others)
 }
 
-/// Requests wait for a place on one engine while others have idle ones: 229 loads were ordered there
-/// and 78 at another one.
+/// Guards against requests that wait for a slot on one engine while others have idle ones: 229
+/// loads were ordered there and 78 on another one.
 #[test]
-fn a_missing_adapter_is_loaded_where_a_place_is_free() {
+fn a_missing_adapter_is_loaded_where_a_slot_is_free() {
     let mut tables = tables();
-    writers(&mut tables, 9);
+    add_writers(&mut tables, 9);
     let (first, others) = first_and_others(&mut tables);
-    places(&mut tables, &first, 0, 3);
+    set_adapter_slots(&mut tables, &first, 0, 3);
     for other in &others {
-        places(&mut tables, other, 1, 0);
+        set_adapter_slots(&mut tables, other, 1, 0);
     }
-    let Pick::Load(place) = pick(&mut tables, &draft("a1"), 0.5, at(3_000)) else {
-        panic!("not to be loaded");
+    let Pick::Load(engine) = pick(&mut tables, &draft("a1"), 0.5, at(3_000)) else {
+        panic!("no load was requested");
     };
-    assert_ne!(place.as_str(), first);
-    places(&mut tables, place.as_str(), 0, 4);
+    assert_ne!(engine.as_str(), first);
+    set_adapter_slots(&mut tables, engine.as_str(), 0, 4);
     let again = pick(&mut tables, &draft("a1"), 0.5, at(3_100));
-    assert_eq!(again, Pick::Load(place), "it was asked for there");
+    assert_eq!(
+        again,
+        Pick::Load(engine),
+        "the engine chosen first was not kept"
+    );
 }
 
-/// An adapter is brought from the weight store again and again, though an engine that held it a
-/// second ago could load it in a tenth of the time.
+/// Guards against loading an adapter from the weight store repeatedly, although an engine that held
+/// it a second ago could load it in a tenth of the time.
 #[test]
-fn a_missing_adapter_is_loaded_where_a_copy_was_kept() {
+fn a_missing_adapter_is_loaded_where_a_host_copy_exists() {
     let mut tables = tables();
-    writers(&mut tables, 9);
+    add_writers(&mut tables, 9);
     let (first, others) = first_and_others(&mut tables);
-    places(&mut tables, &first, 1, 0);
+    set_adapter_slots(&mut tables, &first, 1, 0);
     for other in &others {
-        places(&mut tables, other, 1, 0);
+        set_adapter_slots(&mut tables, other, 1, 0);
     }
-    let order = |count| WordOrder { fencing: 1, count };
+    let order = |count| ResidencyVersion { fencing: 1, count };
     for (count, held) in [(1, vec![adapter_at("a1", 1)]), (2, Vec::new())] {
         let residency = &mut tables.residency;
-        residency.told(&id(&others[3]), order(count), &held, at(count));
+        residency.apply_loader_update(&id(&others[3]), order(count), &held, at(count));
     }
     let pick = pick(&mut tables, &draft("a1"), 0.5, at(3_000));
     assert_eq!(pick, Pick::Load(id(&others[3])));
 }
 
 #[test]
-fn nobody_is_asked_to_load_where_no_loader_can_be_reached() {
+fn no_load_is_requested_where_no_loader_can_be_reached() {
     let mut tables = tables();
-    writers(&mut tables, 1);
+    add_writers(&mut tables, 1);
     tables.shards = (0..4)
         .filter(|shard| *shard != shard_of(&id("e0")))
         .collect();
     assert_eq!(pick(&mut tables, &draft("a1"), 0.5, at(1)), Pick::Full);
 }
 
-fn court(tables: &mut Tables) {
+fn add_court_servers(tables: &mut Tables) {
     for name in ["c0", "c1", "c2"] {
         tables
             .registry
@@ -383,27 +392,33 @@
 }
 
 #[test]
-fn a_filing_goes_to_the_emptiest_server() {
+fn a_filing_goes_to_the_least_loaded_server() {
     let mut tables = tables();
-    court(&mut tables);
+    add_court_servers(&mut tables);
     tables.begin(&id("c0"));
     tables.begin(&id("c2"));
     let filing = call("/file/1", Some("key-1"));
     assert_eq!(sent_to(&pick(&mut tables, &filing, 0.5, at(1))), "c1");
 }
 
-/// A server fails half of its requests while its health check is good.
+/// Guards against a server that fails half of its requests while its health check passes.
 #[test]
-fn a_failing_server_is_left_alone_and_tried_again() {
+fn a_failing_server_is_ejected_and_tried_again() {
     let mut tables = tables();
-    court(&mut tables);
+    add_court_servers(&mut tables);
     let mut ejected = 0;
     for ms in 0..10 {
         let now = at(ms);
-        ejected += u32::from(tables.health.met(&id("c0"), Met::Failure, now));
+        ejected += u32::from(
+            tables
+                .health
+                .record_outcome(&id("c0"), TargetOutcome::Failure, now),
+        );
         for name in ["c1", "c2"] {
-            let quick = Duration::from_millis(20);
-            tables.health.met(&id(name), Met::Answer(quick), now);
+            let latency = Duration::from_millis(20);
+            tables
+                .health
+                .record_outcome(&id(name), TargetOutcome::Answer(latency), now);
         }
     }
     assert!(ejected > 0);
@@ -413,14 +428,16 @@
     assert!(matches!(&later, Pick::Send { target, trial: true, .. } if *target == id("c0")));
 }
 
-/// All servers fail alike: refusing everything would serve nobody.
+/// All servers fail alike: refusing everything would serve no request.
 #[test]
 fn servers_are_used_if_all_of_them_fail() {
     let mut tables = tables();
-    court(&mut tables);
+    add_court_servers(&mut tables);
     for ms in 0..10 {
         for name in ["c0", "c1", "c2"] {
-            tables.health.met(&id(name), Met::Failure, at(ms));
+            tables
+                .health
+                .record_outcome(&id(name), TargetOutcome::Failure, at(ms));
         }
     }
     let filing = call("/file/1", Some("key-1"));
@@ -428,11 +445,11 @@
     assert!(matches!(picked, Pick::Send { .. }), "{picked:?}");
 }
 
-/// Registrations lapse while the store is away, though their servers live.
+/// Registrations expire during a store outage although their servers are still running.
 #[test]
-fn targets_that_vanish_in_an_outage_are_used_until_they_had_time_to_return() {
+fn targets_that_vanish_in_a_store_outage_are_used_until_they_had_time_to_return() {
     let mut tables = tables();
-    court(&mut tables);
+    add_court_servers(&mut tables);
     tables.registry.store_lost(at(0));
     tables.registry.heard_store(at(4_000));
     tables.registry.replace(Vec::new(), Revision(2), at(4_001));
@@ -442,13 +459,13 @@
         Pick::Send { .. }
     ));
     tables.sweep(at(5_900));
-    assert_eq!(pick(&mut tables, &filing, 0.5, at(5_900)), Pick::Nowhere);
+    assert_eq!(pick(&mut tables, &filing, 0.5, at(5_900)), Pick::NoTarget);
 }
 
 #[test]
-fn a_target_that_leaves_gets_no_new_work() {
+fn a_draining_target_gets_no_new_requests() {
     let mut tables = tables();
-    court(&mut tables);
+    add_court_servers(&mut tables);
     for name in ["c0", "c1"] {
         let mut leaving = target(name, "court");
         leaving.leaving = true;
@@ -459,7 +476,7 @@
 }
 
 #[test]
-fn what_no_configuration_allows_is_refused_before_anything_is_charged() {
+fn requests_without_a_configured_route_or_key_are_refused_before_any_charge() {
     let mut tables = tables();
     let refused = |tables: &mut Tables, path, key| tables.admit(&call(path, key), 0, at(0)).err();
     assert_eq!(
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -1,111 +1,115 @@
-//! A model engine that takes orders as the users' pages say, in virtual time.
+//! Simulates an engine that handles orders as documented for users, in virtual time.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use bluebellstage_core::{AdapterVersion, Time};
-use bluebellstage_gateway::decide::adapter::{AdapterAt, AdapterKey};
-use bluebellstage_gateway::decide::loader::{Order, OrderAnswer, OrderKind, Report};
+use bluebellstage_gateway::decide::adapter::{AdapterKey, VersionedAdapter};
+use bluebellstage_gateway::decide::loader::{Order, OrderKind, OrderOutcome, Report};
 
-/// Age of what a report says.
+/// Age of the state in a report.
 const REPORT_LAG: Duration = Duration::from_millis(100);
-/// Time of a load from the weight store.
-const LOAD: Duration = Duration::from_millis(250);
+/// Duration of a load from the weight store.
+const LOAD_DURATION: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 struct State {
     accepted: u64,
-    held: HashMap<AdapterKey, u64>,
-    coming: HashMap<AdapterKey, (u64, Time)>,
-    leaving: Option<AdapterKey>,
+    resident: HashMap<AdapterKey, u64>,
+    pending: HashMap<AdapterKey, (u64, Time)>,
+    unloading: Option<AdapterKey>,
 }
 
-/// An engine with places for adapters.
+/// A simulated engine with adapter slots.
 #[derive(Debug)]
 pub struct Engine {
-    pub places: usize,
+    pub slots: usize,
     state: State,
-    /// Open requests by adapter.
+    /// Number of open requests by adapter.
     open: HashMap<AdapterKey, u32>,
-    past: VecDeque<(Time, State)>,
+    history: VecDeque<(Time, State)>,
     /// Orders that arrive later.
-    late: Vec<(Time, Order)>,
-    /// The most adapters that it was ever told to hold.
-    pub most: usize,
-    /// Time of the next load.
-    pub load_takes: Duration,
-    /// Starts; the count of orders begins anew with each.
-    pub starts: u64,
+    delayed_orders: Vec<(Time, Order)>,
+    /// Maximum number of adapters that it was ever ordered to hold.
+    pub max_adapters: usize,
+    /// Duration of the next load.
+    pub load_duration: Duration,
+    /// Number of starts; the count of orders starts again with each.
+    pub incarnation: u64,
 }
 
 impl Engine {
-    pub fn new(places: usize) -> Self {
+    pub fn new(slots: usize) -> Self {
         Self {
-            places,
+            slots,
             state: State::default(),
             open: HashMap::new(),
-            past: VecDeque::new(),
-            late: Vec::new(),
-            most: 0,
-            load_takes: LOAD,
-            starts: 1,
+            history: VecDeque::new(),
+            delayed_orders: Vec::new(),
+            max_adapters: 0,
+            load_duration: LOAD_DURATION,
+            incarnation: 1,
         }
     }
 
-    /// Restarts empty, under the same name; orders under way still come.
+    /// Restarts empty under the same name; orders in transit still arrive.
     pub fn restart(&mut self) {
         self.state = State::default();
         self.open.clear();
-        self.past.clear();
-        self.starts += 1;
+        self.history.clear();
+        self.incarnation += 1;
     }
 
-    /// Lets time pass: loads arrive, late orders come.
-    pub fn pass(&mut self, now: Time) {
-        self.settle(now);
-        let due = self.late.iter().position(|(at, _)| *at <= now);
+    /// Advances to `now`: loads complete and delayed orders arrive.
+    pub fn advance(&mut self, now: Time) {
+        self.complete_changes(now);
+        let due = self.delayed_orders.iter().position(|(at, _)| *at <= now);
         if let Some(idx) = due {
-            let (_, order) = self.late.swap_remove(idx);
-            let _nobody_hears = self.take(&order, now);
+            let (_, order) = self.delayed_orders.swap_remove(idx);
+            let _ignored_outcome = self.handle_order(&order, now);
         }
-        if self.past.back().is_none_or(|(_, last)| *last != self.state) {
-            self.past.push_back((now, self.state.clone()));
+        if self
+            .history
+            .back()
+            .is_none_or(|(_, last)| *last != self.state)
+        {
+            self.history.push_back((now, self.state.clone()));
         }
         let old = |(at, _): &(Time, State)| now.since(*at) > REPORT_LAG;
-        while self.past.get(1).is_some_and(old) {
-            self.past.pop_front();
+        while self.history.get(1).is_some_and(old) {
+            self.history.pop_front();
         }
     }
 
-    fn settle(&mut self, now: Time) {
-        let arrived = self.state.coming.iter();
+    fn complete_changes(&mut self, now: Time) {
+        let arrived = self.state.pending.iter();
         let arrived = arrived.filter(|(_, (_, ready))| *ready <= now);
         let arrived = arrived.map(|(key, (version, _))| (key.clone(), *version));
         for (key, version) in arrived.collect::<Vec<_>>() {
-            self.state.coming.remove(&key);
-            self.state.held.insert(key, version);
+            self.state.pending.remove(&key);
+            self.state.resident.insert(key, version);
         }
-        if let Some(key) = self.state.leaving.clone()
-            && self.open_on(&key) == 0
+        if let Some(key) = self.state.unloading.clone()
+            && self.open_requests_on(&key) == 0
         {
-            self.state.held.remove(&key);
-            self.state.leaving = None;
+            self.state.resident.remove(&key);
+            self.state.unloading = None;
         }
     }
 
-    /// The order comes only then, and nobody hears its answer.
-    pub fn take_later(&mut self, order: Order, at: Time) {
-        self.late.push((at, order));
+    /// Delivers the order at `at`; its outcome is lost.
+    pub fn delay_order(&mut self, order: Order, at: Time) {
+        self.delayed_orders.push((at, order));
     }
 
-    /// Takes an order.
-    pub fn take(&mut self, order: &Order, now: Time) -> OrderAnswer {
-        self.settle(now);
-        if order.expected != self.state.accepted || self.state.leaving.is_some() {
-            return OrderAnswer::Conflict;
+    /// Handles an order.
+    pub fn handle_order(&mut self, order: &Order, now: Time) -> OrderOutcome {
+        self.complete_changes(now);
+        if order.expected_accepted != self.state.accepted || self.state.unloading.is_some() {
+            return OrderOutcome::Conflict;
         }
-        match &order.what {
-            OrderKind::LoadModel(_) => OrderAnswer::Done,
+        match &order.kind {
+            OrderKind::LoadModel(_) => OrderOutcome::Done,
             OrderKind::LoadAdapter(key, version) => self.load(key, *version, now),
             OrderKind::UnloadAdapter(key) => self.unload(key),
         }
@@ -116,78 +120,79 @@
         key: &AdapterKey,
         version: Option<AdapterVersion>,
         now: Time,
-    ) -> OrderAnswer {
+    ) -> OrderOutcome {
         let version = version.map_or(1, |version| version.0);
-        let holds = |held: Option<&u64>| held.is_some_and(|held| *held >= version);
-        let coming = self.state.coming.get(key).map(|(version, _)| *version);
-        if holds(self.state.held.get(key)) || holds(coming.as_ref()) {
-            return OrderAnswer::Done;
+        let holds = |resident: Option<&u64>| resident.is_some_and(|found| *found >= version);
+        let pending = self.state.pending.get(key).map(|(version, _)| *version);
+        if holds(self.state.resident.get(key)) || holds(pending.as_ref()) {
+            return OrderOutcome::Done;
         }
         self.state.accepted += 1;
-        let ready = now + self.load_takes;
-        self.state.coming.insert(key.clone(), (version, ready));
-        let told = self.state.held.len() + self.state.coming.len();
-        self.most = self.most.max(told);
-        OrderAnswer::Accepted
+        let ready = now + self.load_duration;
+        self.state.pending.insert(key.clone(), (version, ready));
+        let total = self.state.resident.len() + self.state.pending.len();
+        self.max_adapters = self.max_adapters.max(total);
+        OrderOutcome::Accepted
     }
 
-    fn unload(&mut self, key: &AdapterKey) -> OrderAnswer {
-        if !self.state.held.contains_key(key) {
-            return OrderAnswer::Done;
+    fn unload(&mut self, key: &AdapterKey) -> OrderOutcome {
+        if !self.state.resident.contains_key(key) {
+            return OrderOutcome::Done;
         }
         self.state.accepted += 1;
-        if self.open_on(key) > 0 {
-            self.state.leaving = Some(key.clone());
-            return OrderAnswer::Accepted;
+        if self.open_requests_on(key) > 0 {
+            self.state.unloading = Some(key.clone());
+            return OrderOutcome::Accepted;
         }
-        self.state.held.remove(key);
-        OrderAnswer::Done
+        self.state.resident.remove(key);
+        OrderOutcome::Done
     }
 
-    /// Loads under way.
-    pub fn coming(&self) -> usize {
-        self.state.coming.len()
+    /// Returns the number of loads in progress.
+    pub fn loads_in_progress(&self) -> usize {
+        self.state.pending.len()
     }
 
-    fn open_on(&self, key: &AdapterKey) -> u32 {
+    fn open_requests_on(&self, key: &AdapterKey) -> u32 {
         self.open.get(key).copied().unwrap_or(0)
     }
 
-    /// A request on `key` begins, if the adapter is there.
-    pub fn begin(&mut self, key: &AdapterKey) -> bool {
-        let there = self.state.held.contains_key(key) && self.state.leaving.as_ref() != Some(key);
-        if there {
+    /// Starts a request on `key`; returns `false` if the adapter is missing.
+    pub fn start_request(&mut self, key: &AdapterKey) -> bool {
+        let is_usable =
+            self.state.resident.contains_key(key) && self.state.unloading.as_ref() != Some(key);
+        if is_usable {
             *self.open.entry(key.clone()).or_default() += 1;
         }
-        there
+        is_usable
     }
 
-    /// A request on `key` ends.
-    pub fn end(&mut self, key: &AdapterKey) {
+    /// Ends a request on `key`.
+    pub fn end_request(&mut self, key: &AdapterKey) {
         if let Some(open) = self.open.get_mut(key) {
             *open = open.saturating_sub(1);
         }
     }
 
-    /// What it says of itself; a little out of date.
+    /// Returns its state as of [`REPORT_LAG`] ago.
     pub fn report(&self, now: Time) -> Report {
-        let past = self
-            .past
+        let snapshot = self
+            .history
             .iter()
             .rev()
             .find(|(at, _)| now.since(*at) >= REPORT_LAG);
-        let state = past.map_or_else(State::default, |(_, state)| state.clone());
-        let at = |(key, version): (&AdapterKey, &u64)| AdapterAt {
+        let state = snapshot.map_or_else(State::default, |(_, state)| state.clone());
+        let at = |(key, version): (&AdapterKey, &u64)| VersionedAdapter {
             key: key.clone(),
             version: AdapterVersion(*version),
         };
-        let coming = state.coming.iter();
+        let pending = state.pending.iter();
         Report {
             accepted: state.accepted,
             busy: false,
             models: Vec::new(),
-            adapters: state.held.iter().map(at).collect(),
-            coming: coming
+            adapters: state.resident.iter().map(at).collect(),
+            pending_loads: pending
                 .map(|(key, (version, _))| at((key, version)))
                 .collect(),
         }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -3,10 +3,10 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod crashes;
-pub mod desk;
 pub mod engine;
 pub mod fleet;
 pub mod limited;
+pub mod load_simulation;
 pub mod store;
 
 use std::time::Duration;
@@ -15,7 +15,7 @@
     AdapterId, AdapterVersion, BaseModel, FailureDomain, Incarnation, InstanceId, Rate, Revision,
     ServiceId, TargetId, Time, Tokens, WorkspaceId,
 };
-use bluebellstage_gateway::decide::adapter::{AdapterAt, AdapterKey, Wanted};
+use bluebellstage_gateway::decide::adapter::{AdapterKey, RequestedModel, VersionedAdapter};
 use bluebellstage_gateway::decide::call::Call;
 use bluebellstage_gateway::decide::config::{
     Config, EngineLimits, Limits, Quota, QuotaUnit, Route, RouteKind, Service, Workspace,
@@ -41,8 +41,8 @@
     }
 }
 
-pub fn adapter_at(name: &str, version: u64) -> AdapterAt {
-    AdapterAt {
+pub fn adapter_at(name: &str, version: u64) -> VersionedAdapter {
+    VersionedAdapter {
         key: adapter(name),
         version: AdapterVersion(version),
     }
@@ -94,7 +94,7 @@
         leaving: false,
         models: vec![BaseModel::try_from(MODEL).unwrap()],
         adapters: Vec::new(),
-        copies: Vec::new(),
+        cached_models: Vec::new(),
     }
 }
 
@@ -173,7 +173,7 @@
 
 pub fn draft(name: &str) -> Call {
     Call {
-        wanted: Some(Wanted::Adapter(adapter(name))),
+        wanted: Some(RequestedModel::Adapter(adapter(name))),
         tokens: Some(Tokens(100)),
         ..call("/draft/1", Some("key-1"))
     }
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -6,7 +6,7 @@
 
 use bluebellstage_core::Revision;
 use bluebellstage_gateway::decide::call::{AnswerHead, Call, Forward};
-use bluebellstage_gateway::decide::loader::{Order, OrderAnswer, Report};
+use bluebellstage_gateway::decide::loader::{Order, OrderOutcome, Report};
 use bluebellstage_gateway::decide::peers::Member;
 use bluebellstage_gateway::decide::target::Target;
 use bluebellstage_gateway::edge::{
@@ -247,7 +247,7 @@
         unreachable!("no engine is known")
     }
 
-    fn order_answer(&self, _status: StatusCode) -> OrderAnswer {
+    fn order_answer(&self, _status: StatusCode) -> OrderOutcome {
         unreachable!("no engine is known")
     }
 
