--- a/crates/gateway/src/decide/peers.rs
+++ b/crates/gateway/src/decide/peers.rs
@@ -7,7 +7,7 @@
 use bluebellstage_core::{FailureDomain, Incarnation, InstanceId, Revision, Time};
 use serde::{Deserialize, Serialize};
 
-use super::loader::Places;
+use super::loader::AdapterSlots;
 use super::relay_update::RelayView;
 use super::rendezvous::{ShortHash, weight};
 use super::status::{Role, Status};
@@ -141,7 +141,7 @@
     /// Adapters that wait for a load on engines of its shards.
     pub waiting_loads: u16,
     /// Adapter slots of the engines of its shards.
-    pub adapter_slots: HashMap<ShortHash, Places>,
+    pub adapter_slots: HashMap<ShortHash, AdapterSlots>,
     /// Loader shards for which it may order loads.
     pub shards: Vec<u8>,
     /// Loader shards that it holds, including those for which it may not order loads yet.
--- a/crates/gateway/src/decide/registry.rs
+++ b/crates/gateway/src/decide/registry.rs
@@ -366,7 +366,7 @@
     ) -> Vec<ShortHash> {
         let selected = self.targets.values().filter(|target| targets(&target.id));
         let settled = selected.filter_map(|target| {
-            let incarnation = target.life()?;
+            let incarnation = target.incarnation()?;
             let seen = self.first_seen.get(&target.id);
             let is_settled = seen.is_some_and(|seen| now.since(*seen) > age);
             (is_settled || before.contains(&incarnation)).then_some(incarnation)
--- a/crates/gateway/src/decide/status.rs
+++ b/crates/gateway/src/decide/status.rs
@@ -3,7 +3,7 @@
 use bluebellstage_core::Revision;
 use serde::{Deserialize, Serialize};
 
-use super::loader::Places;
+use super::loader::AdapterSlots;
 use super::peers::Load;
 use super::quota::SpentWord;
 use super::rendezvous::ShortHash;
@@ -83,7 +83,7 @@
     /// Adapters that wait for a load on engines of its shards.
     pub waiting_loads: u16,
     /// Adapter slots of the engines of its shards.
-    pub adapter_slots: Vec<(ShortHash, Places)>,
+    pub adapter_slots: Vec<(ShortHash, AdapterSlots)>,
     /// Loader shards for which it may order loads.
     pub shards: Vec<u8>,
     /// Loader shards that it holds, including those for which it may not order loads yet.
--- a/crates/gateway/src/decide/versions.rs
+++ b/crates/gateway/src/decide/versions.rs
@@ -6,7 +6,7 @@
 use bluebellstage_core::{AdapterVersion, Time};
 use serde::{Deserialize, Serialize};
 
-use super::adapter::{AdapterAt, AdapterKey};
+use super::adapter::{AdapterKey, VersionedAdapter};
 
 /// Time for which requests may still start on an older version after a newer one was announced.
 ///
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Announcement {
     /// The adapter and its version.
-    pub adapter: AdapterAt,
+    pub adapter: VersionedAdapter,
     /// Time since the announcement, at most [`MAX_ANNOUNCEMENT_AGE`].
     pub age: Duration,
 }
@@ -57,7 +57,7 @@
 
 impl Versions {
     /// Records an announcement made `age` ago. Returns false if a newer version is known.
-    pub fn announce(&mut self, adapter: &AdapterAt, age: Duration, now: Time) -> bool {
+    pub fn announce(&mut self, adapter: &VersionedAdapter, age: Duration, now: Time) -> bool {
         let known = self.announced.entry(adapter.key.clone()).or_default();
         let newest = known.last().map(|last| last.version);
         if known.iter().any(|known| known.version == adapter.version) {
@@ -91,7 +91,7 @@
     pub fn all(&self, now: Time) -> impl Iterator<Item = Announcement> {
         self.announced.iter().flat_map(move |(key, known)| {
             known.iter().map(move |known| Announcement {
-                adapter: AdapterAt {
+                adapter: VersionedAdapter {
                     key: key.clone(),
                     version: known.version,
                 },
