--- a/crates/gateway/src/decide/call.rs
+++ b/crates/gateway/src/decide/call.rs
@@ -1,67 +1,67 @@
-//! A caller's request as the decisions see it.
+//! Requests and responses as the admission and routing decisions see them.
 
 use std::time::Duration;
 
 use bluebellstage_core::{Tokens, WorkspaceId};
 
 use super::adapter::Wanted;
-use super::limits::Said;
+use super::limits::ReportedLimit;
 
 /// A caller's request, decoded once at the edge.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Call {
-    /// The caller's name for this attempt; targets echo it.
+    /// The caller's id for this attempt; targets echo it.
     pub id: Box<str>,
-    /// Host that the caller asked for, without a port.
+    /// Requested host without the port.
     pub host: Box<str>,
     /// Path without the query.
     pub path: Box<str>,
-    /// How long the caller waits, counted from arrival; none: it didn't say.
-    pub patience: Option<Duration>,
+    /// How long the caller waits, counted from arrival; `None` if the request doesn't say.
+    pub timeout: Option<Duration>,
     /// The caller's key, if it sent one; never logged.
     pub key: Option<Box<str>>,
-    /// What an engine is to run; none for plain services.
+    /// What an engine is to run; `None` for plain services.
     pub wanted: Option<Wanted>,
-    /// Prompt tokens plus the longest answer; none: the workspace's plain charge applies.
+    /// Prompt tokens plus the maximum response length; `None` if the workspace's plain charge applies.
     pub tokens: Option<Tokens>,
     /// Prompt tokens that an engine reads before the first event.
-    pub prompt: Tokens,
-    /// Hash of the shared start of the prompt; requests with the same one reuse an engine's cache.
-    pub prompt_start: Option<u64>,
+    pub prompt_tokens: Tokens,
+    /// Hash of the shared prefix of the prompt; requests with the same prefix reuse an engine's cache.
+    pub prompt_prefix: Option<u64>,
     /// Number of the last event that the caller already has.
     pub resume_after: Option<u64>,
 }
 
-/// What goes to a target beside the caller's own request.
+/// Data sent to a target in addition to the caller's own request.
 #[derive(Clone, Debug)]
 pub struct Forward<'a> {
     /// How long the target may take.
     pub time_left: Duration,
-    /// The target's registered name, so that another process at its address refuses.
+    /// The target's registered name, so that a different process at its address refuses the request.
     pub target: &'a str,
     /// The workspace that the caller's key belongs to.
     pub workspace: Option<&'a WorkspaceId>,
-    /// The adapter's version that the target must run.
+    /// The adapter version that the target must run.
     pub adapter_version: Option<u64>,
-    /// Admission rank at the engine, 0 first; none: the engine's default.
-    pub urgency: Option<u8>,
+    /// Admission rank at the engine, 0 first; `None` for the engine's default.
+    pub priority: Option<u8>,
     /// Number of the last event that the caller has.
     pub resume_after: Option<u64>,
 }
 
-/// What a target's answer says before its body.
+/// Contents of a target's response head.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The id that the target echoed.
     pub id: Option<Box<str>>,
-    /// The target signed the answer as its own.
+    /// Whether the target signed the response as its own.
     pub signed: bool,
-    /// The target says that it did not run the request.
+    /// Whether the target reports that it did not run the request.
     pub not_run: bool,
-    /// The target closes the connection after this answer.
-    pub closes: bool,
-    /// How long the target keeps an idle connection.
-    pub idle_limit: Option<Duration>,
-    /// What it takes from all instances together.
-    pub limit: Said,
+    /// Whether the target closes the connection after this response.
+    pub closes_connection: bool,
+    /// How long the target keeps an idle connection open.
+    pub idle_timeout: Option<Duration>,
+    /// The target's rate limit for all instances together.
+    pub limit: ReportedLimit,
 }
--- a/crates/gateway/src/decide/config.rs
+++ b/crates/gateway/src/decide/config.rs
@@ -1,116 +1,116 @@
-//! The operators' configuration in the gateway's own terms.
+//! The operators' configuration in the gateway's data model.
 
 use std::time::Duration;
 
 use bluebellstage_core::{BaseModel, Rate, Revision, ServiceId, Tokens, WorkspaceId};
 use serde::{Deserialize, Serialize};
 
-/// One version of the configuration, complete.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Config {
-    /// Grows with each change; an older one never replaces a newer one.
+    /// Version; increases with each change. An older version never replaces a newer one.
     pub version: Revision,
-    /// Where requests go.
+    /// Routes of requests.
     pub routes: Vec<Route>,
-    /// The services that routes name.
+    /// The services that routes refer to.
     pub services: Vec<Service>,
-    /// What callers may send; shared by all routes.
+    /// Limits on callers' requests; shared by all routes.
     pub limits: Limits,
-    /// Workspaces; when empty, requests need no key.
+    /// Workspaces; if empty, requests need no key.
     pub workspaces: Vec<Workspace>,
 }
 
 /// A route.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Box<str>,
-    /// The host that it answers for.
+    /// Host that the route matches.
     pub host: Box<str>,
-    /// The start of the paths that it answers for; begins and ends with a slash.
+    /// Path prefix that the route matches; begins and ends with a slash.
     pub prefix: Box<str>,
     /// Services with their weights; at least one.
     pub split: Vec<(ServiceId, u32)>,
-    /// What may be repeated.
+    /// Which requests may be retried.
     pub kind: RouteKind,
-    /// Longest time that the operators want a request kept.
+    /// Maximum time that a request may take.
     pub timeout: Duration,
-    /// Time within which an answer earns its full worth.
+    /// Response time up to which a response has its full value.
     pub target_latency: Duration,
-    /// Most targets that may run one caller's attempt.
+    /// Maximum number of targets that may run one caller's attempt.
     pub max_attempts: u32,
     /// Rank, 0 first.
     pub rank: u8,
-    /// No key is needed.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Longest pause between events that is still on time.
+    /// Maximum gap between events that still counts as on time.
     pub target_gap: Option<Duration>,
 }
 
-/// What may be repeated on a route.
+/// Which requests may be retried on a route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum RouteKind {
-    /// Idempotent.
+    /// Idempotent requests, which may be retried.
     Safe,
-    /// Runs at most once.
+    /// Requests that run at most once.
     Unsafe,
-    /// A stream of events that may go on at another target.
+    /// Event streams that may be resumed at another target.
     ResumableStream,
-    /// A stream of events that runs at most once.
+    /// Event streams that run at most once.
     SingleStream,
 }
 
 impl RouteKind {
-    /// The request may be sent again although it may have run.
+    /// Returns whether a request may be sent again although it may have run.
     #[must_use]
     pub const fn repeatable(self) -> bool {
         matches!(self, Self::Safe | Self::ResumableStream)
     }
 
-    /// The answer is a stream of events.
+    /// Returns whether the response is an event stream.
     #[must_use]
     pub const fn streams(self) -> bool {
         matches!(self, Self::ResumableStream | Self::SingleStream)
     }
 }
 
-/// A service: plain, or a group of engines.
+/// A service: either plain or a group of engines.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Most connections that one of its targets takes from all callers together.
+    /// Maximum number of connections to one of its targets from all callers together.
     pub max_connections: u32,
-    /// Set where the targets are engines.
+    /// Limits of the engines; `None` for a plain service.
     pub engine: Option<EngineLimits>,
 }
 
-/// What the engines of a service hold.
+/// Limits of a service's engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct EngineLimits {
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Adapters that fit, those being loaded included.
+    /// Maximum number of adapters, including those being loaded.
     pub adapter_slots: u32,
-    /// Adapters that may be on their way from the weight store to all engines together before each
-    /// takes longer.
+    /// Maximum number of concurrent adapter loads from the weight store to all engines together; beyond it,
+    /// each load takes longer.
     pub adapter_loads_at_once: u32,
     /// Base models that may be loaded.
     pub models: Vec<BaseModel>,
-    /// Time of a base model's load from the weight store, in milliseconds.
+    /// Time to load a base model from the weight store, in milliseconds.
     pub load_ms: u64,
 }
 
-/// What callers may send.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to come in.
+    /// Maximum time to receive a request head.
     pub header_timeout: Duration,
-    /// Longest time a connection may be idle.
+    /// Maximum time a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -125,16 +125,16 @@
     }
 }
 
-/// A workspace: who pays for a request.
+/// A workspace: the customer that is charged for a request.
 #[derive(Clone, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceId,
     /// Keys that callers present; never logged.
     pub keys: Vec<Box<str>>,
-    /// Rank that goes before a route's, 0 first.
+    /// Rank that takes precedence over the route's, 0 first.
     pub rank: Option<u8>,
-    /// Its quota; none: unlimited.
+    /// Quota; `None` if unlimited.
     pub quota: Option<Quota>,
 }
 
@@ -149,23 +149,23 @@
     }
 }
 
-/// What a workspace may spend over all instances.
+/// Quota of a workspace over all instances.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Quota {
-    /// What a request counts as.
+    /// Unit in which requests are charged.
     pub unit: QuotaUnit,
-    /// Units a second.
+    /// Units per second.
     pub rate: Rate,
-    /// Units that may be spent at once after a rest.
+    /// Units that may be spent at once when the bucket is full.
     pub burst: Tokens,
 }
 
-/// What a request counts as.
+/// Unit in which requests are charged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum QuotaUnit {
-    /// One.
+    /// Each request counts as one unit.
     Requests,
-    /// Its tokens; `plain` where it names none.
+    /// A request is charged its tokens, or `plain` if it has no token count.
     Tokens {
         /// Charge of a request without a token count.
         plain: Tokens,
@@ -173,7 +173,7 @@
 }
 
 impl QuotaUnit {
-    /// Charge of a request that names `tokens`.
+    /// Returns the charge of a request with `tokens`.
     #[must_use]
     pub fn charge(self, tokens: Option<Tokens>) -> u64 {
         match self {
@@ -184,7 +184,7 @@
 }
 
 impl Config {
-    /// The service of that name.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &ServiceId) -> Option<&Service> {
         self.services.iter().find(|service| service.name == *name)
--- a/crates/gateway/src/decide/dump.rs
+++ b/crates/gateway/src/decide/dump.rs
@@ -221,7 +221,7 @@
                 id: target.id.clone(),
                 service: target.service.clone(),
                 leaving: target.leaving,
-                limit: self.limits.of(&target.id),
+                limit: self.limits.get(&target.id),
                 standing: self.health.standing(&target.id, now),
                 in_flight: self.own_in_flight(&target.id) + others,
                 slots: target.slots,
@@ -244,7 +244,7 @@
     }
 
     fn dump_suspects(&self) -> Vec<SuspectDump> {
-        let suspected = self.quarantine.suspected();
+        let suspected = self.quarantine.suspects();
         let mut dumped = suspected
             .map(|(fingerprint, ended)| SuspectDump { fingerprint, ended })
             .collect::<Vec<_>>();
--- a/crates/gateway/src/decide/event_stream.rs
+++ b/crates/gateway/src/decide/event_stream.rs
@@ -1,73 +1,73 @@
-//! Cuts a stream of server-sent events into whole events and checks their order.
+//! Splits a stream of server-sent events into complete events and checks their order.
 
 use bytes::{Bytes, BytesMut};
 
-/// What a piece of a stream brought.
+/// Result of adding a chunk to a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Cut {
-    /// Whole events, maybe none.
+pub enum SplitResult {
+    /// Complete events, possibly none.
     Events(Bytes),
-    /// The stream is out of order or no event stream: nothing of this piece may go on.
-    Broken,
+    /// Events are out of order, or the data is no event stream: nothing of this chunk may be forwarded.
+    Invalid,
 }
 
-/// Longest event that is buffered; a longer one is taken for wrong bytes.
+/// Maximum size of a buffered event; a longer one is treated as invalid data.
 const MAX_EVENT_BYTES: usize = 64 * 1_024;
 
-/// Cuts one stream; survives a change of target.
+/// Splits one stream into events; keeps its position when the target changes.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     partial: BytesMut,
-    last: Option<u64>,
+    last_id: Option<u64>,
 }
 
-impl EventCutter {
-    /// A cutter for a caller that already has the events up to `resume_after`.
+impl EventSplitter {
+    /// Creates a splitter for a caller that already has the events up to `resume_after`.
     #[must_use]
     pub fn new(resume_after: Option<u64>) -> Self {
         Self {
             partial: BytesMut::new(),
-            last: resume_after,
+            last_id: resume_after,
         }
     }
 
-    /// Number of the last event that went on.
+    /// Returns the number of the last event that was forwarded.
     #[must_use]
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
-    /// An event has begun and not ended.
+    /// Returns whether the buffer ends in the middle of an event.
     #[must_use]
-    pub fn mid_event(&self) -> bool {
+    pub fn is_mid_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Drops the beginning of an event; the next target sends it whole.
+    /// Drops an incomplete event; the next target sends it again from its beginning.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Takes in a piece.
-    pub fn push(&mut self, piece: &[u8]) -> Cut {
-        self.partial.extend_from_slice(piece);
+    /// Adds a chunk and returns the events that it completes.
+    pub fn push(&mut self, chunk: &[u8]) -> SplitResult {
+        self.partial.extend_from_slice(chunk);
         let mut end = 0;
-        let mut last = self.last;
+        let mut last_id = self.last_id;
         while let Some(len) = event_len(&self.partial[end..]) {
             let id = event_id(&self.partial[end..end + len]);
-            if let (Some(id), Some(before)) = (id, last)
-                && id != before + 1
+            if let (Some(id), Some(previous)) = (id, last_id)
+                && id != previous + 1
             {
-                return Cut::Broken;
+                return SplitResult::Invalid;
             }
-            last = id.or(last);
+            last_id = id.or(last_id);
             end += len;
         }
         if self.partial.len() - end > MAX_EVENT_BYTES {
-            return Cut::Broken;
+            return SplitResult::Invalid;
         }
-        self.last = last;
-        Cut::Events(self.partial.split_to(end).freeze())
+        self.last_id = last_id;
+        SplitResult::Events(self.partial.split_to(end).freeze())
     }
 }
 
@@ -80,8 +80,9 @@
     }
 }
 
-fn find(buf: &[u8], what: &[u8]) -> Option<usize> {
-    buf.windows(what.len()).position(|window| window == what)
+fn find(buf: &[u8], pattern: &[u8]) -> Option<usize> {
+    buf.windows(pattern.len())
+        .position(|window| window == pattern)
 }
 
 fn event_id(event: &[u8]) -> Option<u64> {
--- a/crates/gateway/src/decide/exchange/limits.rs
+++ b/crates/gateway/src/decide/exchange/limits.rs
@@ -6,14 +6,14 @@
 use bluebellstage_core::{TargetId, Time};
 
 use super::message::{Message, Telling};
-use crate::decide::limits::{Change, LimitWord, REQUEST, Said, budget};
-use crate::decide::quota::{Charged, Sharing};
+use crate::decide::limits::{Change, LimitReport, ReportedLimit, UNITS_PER_REQUEST, budget};
+use crate::decide::quota::{ChargeOutcome, PeerVisibility};
 use crate::decide::tables::Tables;
 
 /// Words in one datagram.
 const BATCH: usize = 64;
 
-fn batches(words: &[LimitWord], to: &[SocketAddr]) -> Vec<Telling> {
+fn batches(words: &[LimitReport], to: &[SocketAddr]) -> Vec<Telling> {
     let parts = words.chunks(BATCH).map(|part| Telling {
         to: to.to_vec(),
         message: Message::Limits(part.to_vec()),
@@ -23,59 +23,70 @@
 
 impl Tables {
     /// Takes in what the answer to a request that was `sent` then says of its target's limit.
-    pub fn answer_said(&mut self, target: &TargetId, said: Said, sent: Time, now: Time) -> Change {
-        let change = self.limits.heard(target, said, sent, now);
+    pub fn answer_said(
+        &mut self,
+        target: &TargetId,
+        said: ReportedLimit,
+        sent: Time,
+        now: Time,
+    ) -> Change {
+        let change = self.limits.record_response(target, said, sent, now);
         self.apply_limit(target, change, now);
         change
     }
 
     fn apply_limit(&mut self, target: &TargetId, change: Change, now: Time) {
         match change {
-            Change::Same => {}
+            Change::Unchanged => {}
             Change::Limited(rate) => {
                 let silent = self.unheard_share(now);
                 self.quotas.prepare(target, budget(rate), silent, now);
             }
-            Change::Over => self.quotas.close(target),
+            Change::Lifted => self.quotas.close(target),
         }
     }
 
     /// Charges a request to the limit of its target, if it has one; false if that is used up.
     pub(in crate::decide) fn charge_limit(&mut self, target: &TargetId, now: Time) -> bool {
-        let Some(rate) = self.limits.of(target) else {
+        let Some(rate) = self.limits.get(target) else {
             return true;
         };
-        let sharing = Sharing {
-            silent: self.unheard_share(now),
-            lag: self.news_age(now),
+        let sharing = PeerVisibility {
+            silent_fraction: self.unheard_share(now),
+            staleness: self.news_age(now),
         };
         let no_pause = Duration::ZERO;
-        let charged = self
-            .quotas
-            .charge(target, budget(rate), REQUEST, sharing, no_pause, now);
-        charged == Charged::Within
+        let charged = self.quotas.charge(
+            target,
+            budget(rate),
+            UNITS_PER_REQUEST,
+            sharing,
+            no_pause,
+            now,
+        );
+        charged == ChargeOutcome::Accepted
     }
 
     pub(super) fn tell_limits(&mut self, now: Time) -> Vec<Telling> {
-        let own = self.limits.tell_round(now);
-        let passed_on = self.limits.pass_on_round(now);
+        let own = self.limits.reports_for_round(now);
+        let passed_on = self.limits.relayed_reports_for_round(now);
         let mut tellings = batches(&own, &self.fleet(now));
         tellings.extend(batches(&passed_on, &self.readers()));
         tellings
     }
 
     /// Takes in what another instance heard; a relay passes what is new on to those that ask it.
-    pub(super) fn take_limits(&mut self, words: &[LimitWord], now: Time) {
+    pub(super) fn take_limits(&mut self, words: &[LimitReport], now: Time) {
         let mut news = Vec::new();
         for word in words {
-            let Some(change) = self.limits.take(word, now) else {
+            let Some(change) = self.limits.apply(word, now) else {
                 continue;
             };
             self.apply_limit(&word.target, change, now);
             news.push(word.target.clone());
         }
         if !self.readers().is_empty() {
-            self.limits.pass_on(news);
+            self.limits.queue_relay(news);
         }
     }
 }
--- a/crates/gateway/src/decide/exchange/message.rs
+++ b/crates/gateway/src/decide/exchange/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::limits::LimitWord;
+use crate::decide::limits::LimitReport;
 use crate::decide::news::{News, Roster};
 use crate::decide::peers::Member;
 use crate::decide::rendezvous::ShortHash;
@@ -29,7 +29,7 @@
     /// The order of instances that the sender's news go by.
     Roster(Roster),
     /// What targets said of their limits.
-    Limits(Vec<LimitWord>),
+    Limits(Vec<LimitReport>),
     /// Who an instance is.
     Introduction(Box<Member>),
     /// A status came from somebody unknown: who is it?
--- a/crates/gateway/src/decide/exchange/mod.rs
+++ b/crates/gateway/src/decide/exchange/mod.rs
@@ -138,7 +138,7 @@
         let relayed = self.is_relayed(now);
         let has_place = relayed && warm && self.takes_place(now);
         if has_place && self.exchange.place_since.is_none() && self.peers.view().is_some() {
-            self.quotas.forget_peers();
+            self.quotas.reset_peer_baselines();
         }
         self.exchange.take_role(has_place, now);
         if self.exchange.role != Role::Relays {
@@ -225,7 +225,7 @@
 
     fn next_status(&mut self, ended: bool, now: Time) -> Status {
         self.exchange.seq += 1;
-        let spent = self.quotas.tell_spent(NEWS_LASTS, now);
+        let spent = self.quotas.take_spend_reports(NEWS_LASTS, now);
         let loads = self.own_loads();
         Status {
             from: ShortHash::of(self.me.name.as_str()),
--- a/crates/gateway/src/decide/exchange/news_for.rs
+++ b/crates/gateway/src/decide/exchange/news_for.rs
@@ -50,7 +50,7 @@
                 loads,
                 spent: self.quotas.spent_by_others(&name, span, now).collect(),
                 left: if reader.all {
-                    self.quotas.left().collect()
+                    self.quotas.remaining().collect()
                 } else {
                     Vec::new()
                 },
--- a/crates/gateway/src/decide/exchange/source.rs
+++ b/crates/gateway/src/decide/exchange/source.rs
@@ -115,7 +115,7 @@
             return;
         };
         self.peers.set_view(None);
-        self.quotas.forget_sums();
-        self.quotas.missed(now.since(at) + ROUND, now);
+        self.quotas.reset_relay_baseline();
+        self.quotas.extrapolate(now.since(at) + ROUND, now);
     }
 }
--- a/crates/gateway/src/decide/exchange/take.rs
+++ b/crates/gateway/src/decide/exchange/take.rs
@@ -141,7 +141,7 @@
         for spent in &status.spent {
             let life = member.incarnation;
             self.quotas
-                .heard(&member.name, life, *spent, after, counts, now);
+                .record_peer_spending(&member.name, life, *spent, after, counts, now);
         }
         if status.ended {
             self.peers.ended(&member.name);
@@ -175,7 +175,7 @@
         let lag = Duration::from_millis(u64::from(news.lag_ms));
         let first = self.peers.view().is_none();
         for (workspace, left) in news.left.iter().filter(|_| first) {
-            self.quotas.set_left(*workspace, *left);
+            self.quotas.set_remaining(*workspace, *left);
         }
         self.take_sums(name, &news.relay, news.loads, &news.spent, lag, now);
         if self.exchange.role != Role::Asks {
@@ -221,13 +221,14 @@
         match before {
             // What was spent between the last news of one relay and the first ones of the next is not
             // told by either.
-            Some((former, at)) if former != name => self.quotas.missed(now.since(at), now),
+            Some((former, at)) if former != name => self.quotas.extrapolate(now.since(at), now),
             Some(_) => {}
-            None => self.quotas.forget_peers(),
+            None => self.quotas.reset_peer_baselines(),
         }
         for (workspace, count) in spent {
             let from = (relay.from, relay.life);
-            self.quotas.heard_sum(from, *workspace, *count, now);
+            self.quotas
+                .record_relay_count(from, *workspace, *count, now);
         }
         let targets = self.registry.order().collect::<Vec<_>>();
         if let Some(loads) = loads.unpack(&targets, self.registry.digest()) {
--- a/crates/gateway/src/decide/kind.rs
+++ b/crates/gateway/src/decide/kind.rs
@@ -1,8 +1,8 @@
-//! The kinds of objects in the store.
+//! Kinds of objects in the store.
 
 use serde::{Deserialize, Serialize};
 
-/// The kinds of objects that an instance reads or writes.
+/// Kind of an object that an instance reads or writes.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -16,12 +16,12 @@
     Members,
     /// Leases of the loader shards.
     Leases,
-    /// Verdicts on requests under which targets end.
+    /// Quarantine decisions on requests under which targets crash.
     Verdicts,
 }
 
 impl Kind {
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
--- a/crates/gateway/src/decide/limits/mod.rs
+++ b/crates/gateway/src/decide/limits/mod.rs
@@ -1,115 +1,124 @@
-//! Limits that targets name in their answers, for all instances together.
+//! Rate limits that targets report in their responses; each applies to all instances together.
 
+mod report;
 mod request_rate;
-mod word;
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
 use bluebellstage_core::{Rate, TargetId, Time, Tokens};
 
+pub use self::report::LimitReport;
 pub use self::request_rate::{BadRequestRate, RequestRate};
-pub use self::word::LimitWord;
 use super::config::{Quota, QuotaUnit};
 
-/// What a request counts as: rates are counted in thousandths of one.
-pub const REQUEST: u64 = 1_000;
-/// Least rate at which a target is asked, in thousandths of a request a second. One that takes nothing is asked now and
-/// then whether that is over.
-const LEAST_RATE: u64 = 250;
-/// Requests that may be sent to a rested target at once, in thousandths.
-const LEAST_BURST: u64 = 2 * REQUEST;
-/// Time in which the rate fills the burst of a target that takes many.
-const BURST_SPAN: Duration = Duration::from_millis(500);
-/// Time since the last word on a limit from which its target gets what it takes before others are asked: it may be over.
-const ASKED_AFTER: Duration = Duration::from_secs(1);
-/// Rounds in which a word is told.
-const TOLD: u32 = 2;
-
-/// What a target's answer says of its limit.
+/// Quota units per request: rates are counted in thousandths of a request.
+pub const UNITS_PER_REQUEST: u64 = 1_000;
+/// Minimum rate at which a target receives requests, in thousandths of a request per second. A target that
+/// takes nothing is still probed occasionally to find out whether its limit was lifted.
+const MIN_RATE: u64 = 250;
+/// Minimum burst for an idle target, in thousandths of a request.
+const MIN_BURST: u64 = 2 * UNITS_PER_REQUEST;
+/// Time in which the rate fills the burst of a target with a high limit.
+const BURST_WINDOW: Duration = Duration::from_millis(500);
+/// Time since the last report of a limit after which its target is preferred up to the limit, as the limit
+/// may have been lifted.
+const PROBE_DELAY: Duration = Duration::from_secs(1);
+/// Number of rounds in which a report is sent.
+const SEND_ROUNDS: u32 = 2;
+
+/// What a target's response reports about its limit.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Said {
-    /// It has none.
+pub enum ReportedLimit {
+    /// The target has no limit.
     #[default]
     Unlimited,
-    /// It takes no more than so many requests a second.
+    /// The target takes at most this many requests per second.
     Limit(RequestRate),
-    /// Something that names no rate.
+    /// The header is not a valid rate.
     Malformed,
 }
 
-/// What an answer changed.
+/// How a report changed the known limit of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Nothing.
-    Same,
-    /// The target names a limit, or another one than before.
+    /// The limit is unchanged.
+    Unchanged,
+    /// The target reports a new or different limit.
     Limited(RequestRate),
-    /// It names none any more.
-    Over,
+    /// The target no longer reports a limit.
+    Lifted,
 }
 
-/// The newest word on a target.
+/// The latest report on a target.
 #[derive(Clone, Copy, Debug)]
-struct Known {
-    /// None: it named a limit before.
+struct KnownLimit {
+    /// `None` if the limit was lifted.
     limit: Option<RequestRate>,
-    /// When it was heard.
-    at: Time,
+    /// When the report was received.
+    reported_at: Time,
 }
 
 /// Limits by target.
 #[derive(Debug, Default)]
 pub struct Limits {
-    known: HashMap<TargetId, Known>,
-    /// Targets of which all others are to be told, with the rounds that are left.
-    untold: BTreeMap<TargetId, u32>,
-    /// The same for those that ask this instance for news. What others told goes to them alone: relays that told it
-    /// each other would take it for news each time.
-    passed_on: BTreeMap<TargetId, u32>,
+    known: HashMap<TargetId, KnownLimit>,
+    /// Targets whose limits are to be sent to all instances, with the rounds that remain.
+    local_rounds: BTreeMap<TargetId, u32>,
+    /// Targets whose limits, received from other instances, are to be sent to this instance's subscribers
+    /// only. Relays that sent them to each other would take them for new each time.
+    relay_rounds: BTreeMap<TargetId, u32>,
 }
 
-/// Targets that are due, one round less of each left.
-fn take_round(rounds: &mut BTreeMap<TargetId, u32>) -> Vec<TargetId> {
+/// Returns the targets that are due and decrements the remaining rounds of each.
+fn take_due(rounds: &mut BTreeMap<TargetId, u32>) -> Vec<TargetId> {
     let due = rounds.keys().cloned().collect();
-    for left in rounds.values_mut() {
-        *left -= 1;
+    for rounds_left in rounds.values_mut() {
+        *rounds_left -= 1;
     }
-    rounds.retain(|_, left| *left > 0);
+    rounds.retain(|_, rounds_left| *rounds_left > 0);
     due
 }
 
-/// The budget that a limit gives all instances together.
+/// Returns the quota that a limit allows all instances together.
 #[must_use]
 pub fn budget(rate: RequestRate) -> Quota {
-    let milli = u64::from(rate.milli()).max(LEAST_RATE);
-    let in_span = milli * u64::try_from(BURST_SPAN.as_millis()).unwrap_or(0) / REQUEST;
+    let milli = u64::from(rate.milli()).max(MIN_RATE);
+    let in_window =
+        milli * u64::try_from(BURST_WINDOW.as_millis()).unwrap_or(0) / UNITS_PER_REQUEST;
     Quota {
         unit: QuotaUnit::Requests,
         rate: Rate(milli),
-        burst: Tokens(in_span.max(LEAST_BURST)),
+        burst: Tokens(in_window.max(MIN_BURST)),
     }
 }
 
 impl Limits {
-    /// Takes in what an answer to a request says that was `sent` then. One that was sent before the last word on the
-    /// target doesn't end its limit: it was under way when that was named.
-    pub fn heard(&mut self, target: &TargetId, said: Said, sent: Time, now: Time) -> Change {
+    /// Processes the limit in a response to a request that was sent at `sent_at`. A response to a request
+    /// sent before the last report on the target does not lift its limit: the request was in flight when the
+    /// limit was reported.
+    pub fn record_response(
+        &mut self,
+        target: &TargetId,
+        reported: ReportedLimit,
+        sent_at: Time,
+        now: Time,
+    ) -> Change {
         let known = self.known.get(target).copied();
         let limit = known.and_then(|known| known.limit);
-        match (said, limit) {
-            (Said::Malformed, _) | (Said::Unlimited, None) => Change::Same,
-            (Said::Unlimited, Some(_)) => {
-                if known.is_some_and(|known| sent < known.at) {
-                    return Change::Same;
+        match (reported, limit) {
+            (ReportedLimit::Malformed, _) | (ReportedLimit::Unlimited, None) => Change::Unchanged,
+            (ReportedLimit::Unlimited, Some(_)) => {
+                if known.is_some_and(|known| sent_at < known.reported_at) {
+                    return Change::Unchanged;
                 }
-                self.put(target, None, now);
-                Change::Over
+                self.set(target, None, now);
+                Change::Lifted
             }
-            (Said::Limit(rate), before) => {
-                self.put(target, Some(rate), now);
+            (ReportedLimit::Limit(rate), before) => {
+                self.set(target, Some(rate), now);
                 if before == Some(rate) {
-                    Change::Same
+                    Change::Unchanged
                 } else {
                     Change::Limited(rate)
                 }
@@ -117,90 +126,92 @@
         }
     }
 
-    fn put(&mut self, target: &TargetId, limit: Option<RequestRate>, at: Time) {
-        self.known.insert(target.clone(), Known { limit, at });
-        self.untold.insert(target.clone(), TOLD);
+    fn set(&mut self, target: &TargetId, limit: Option<RequestRate>, reported_at: Time) {
+        self.known
+            .insert(target.clone(), KnownLimit { limit, reported_at });
+        self.local_rounds.insert(target.clone(), SEND_ROUNDS);
     }
 
-    /// Takes in what another instance heard; what it changed, and none if something newer is known.
-    pub fn take(&mut self, word: &LimitWord, now: Time) -> Option<Change> {
-        let at = now - word.age();
-        let known = self.known.get(&word.target).copied();
-        if known.is_some_and(|known| known.at >= at) {
+    /// Applies a report of another instance. Returns the change, or `None` if a newer report is known.
+    pub fn apply(&mut self, report: &LimitReport, now: Time) -> Option<Change> {
+        let reported_at = now - report.age();
+        let known = self.known.get(&report.target).copied();
+        if known.is_some_and(|known| known.reported_at >= reported_at) {
             return None;
         }
         let before = known.and_then(|known| known.limit);
-        let limit = word.limit;
-        self.known.insert(word.target.clone(), Known { limit, at });
+        let limit = report.limit;
+        self.known
+            .insert(report.target.clone(), KnownLimit { limit, reported_at });
         Some(match (before, limit) {
-            (before, after) if before == after => Change::Same,
+            (before, after) if before == after => Change::Unchanged,
             (_, Some(rate)) => Change::Limited(rate),
-            (_, None) => Change::Over,
+            (_, None) => Change::Lifted,
         })
     }
 
-    /// Has another instance's words on targets told to those that ask this one for news.
-    pub fn pass_on(&mut self, targets: Vec<TargetId>) {
-        let targets = targets.into_iter().map(|target| (target, TOLD));
-        self.passed_on.extend(targets);
+    /// Queues limits received from another instance to be sent to subscribers.
+    pub fn queue_relay(&mut self, targets: Vec<TargetId>) {
+        let targets = targets.into_iter().map(|target| (target, SEND_ROUNDS));
+        self.relay_rounds.extend(targets);
     }
 
-    /// Own words for all others in this round.
-    pub fn tell_round(&mut self, now: Time) -> Vec<LimitWord> {
-        let due = take_round(&mut self.untold);
-        self.words(due, now)
+    /// Returns this instance's own reports for all other instances in this round.
+    pub fn reports_for_round(&mut self, now: Time) -> Vec<LimitReport> {
+        let due = take_due(&mut self.local_rounds);
+        self.reports(due, now)
     }
 
-    /// Words of others, for those that ask this instance for news.
-    pub fn pass_on_round(&mut self, now: Time) -> Vec<LimitWord> {
-        let due = take_round(&mut self.passed_on);
-        self.words(due, now)
+    /// Returns reports of other instances for this instance's subscribers in this round.
+    pub fn relayed_reports_for_round(&mut self, now: Time) -> Vec<LimitReport> {
+        let due = take_due(&mut self.relay_rounds);
+        self.reports(due, now)
     }
 
-    fn words(&self, targets: Vec<TargetId>, now: Time) -> Vec<LimitWord> {
-        let words = targets.into_iter().filter_map(|target| {
+    fn reports(&self, targets: Vec<TargetId>, now: Time) -> Vec<LimitReport> {
+        let reports = targets.into_iter().filter_map(|target| {
             let known = self.known.get(&target)?;
-            let age = now.since(known.at).as_millis();
-            Some(LimitWord {
+            let age = now.since(known.reported_at).as_millis();
+            Some(LimitReport {
                 target,
                 limit: known.limit,
                 age_ms: u32::try_from(age).unwrap_or(u32::MAX),
             })
         });
-        words.collect()
+        reports.collect()
     }
 
-    /// Whether no target names a limit.
+    /// Returns whether no target has a limit.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.known.values().all(|known| known.limit.is_none())
     }
 
-    /// Whether a target's limit was named so long ago that it may be over.
+    /// Returns whether the last report of a target's limit is so old that the limit may have been lifted.
     #[must_use]
-    pub fn may_be_over(&self, target: &TargetId, now: Time) -> bool {
+    pub fn may_be_lifted(&self, target: &TargetId, now: Time) -> bool {
         let known = self.known.get(target);
-        known.is_some_and(|known| now.since(known.at) >= ASKED_AFTER)
+        known.is_some_and(|known| now.since(known.reported_at) >= PROBE_DELAY)
     }
 
-    /// The limit of a target.
+    /// Returns the limit of a target.
     #[must_use]
-    pub fn of(&self, target: &TargetId) -> Option<RequestRate> {
+    pub fn get(&self, target: &TargetId) -> Option<RequestRate> {
         self.known.get(target)?.limit
     }
 
-    /// Targets that name a limit.
-    pub fn all(&self) -> impl Iterator<Item = (&TargetId, RequestRate)> {
+    /// Returns the targets that have a limit.
+    pub fn iter(&self) -> impl Iterator<Item = (&TargetId, RequestRate)> {
         let known = self.known.iter();
         known.filter_map(|(target, known)| Some((target, known.limit?)))
     }
 
-    /// Forgets targets that are gone; gives those that named a limit.
-    pub fn forget(&mut self, gone: impl Fn(&TargetId) -> bool) -> Vec<TargetId> {
-        let limited = self.all().map(|(target, _)| target);
-        let limited = limited.filter(|target| gone(target)).cloned();
+    /// Removes the targets for which `is_gone` returns true; returns those that had a limit.
+    pub fn remove_gone(&mut self, is_gone: impl Fn(&TargetId) -> bool) -> Vec<TargetId> {
+        let limited = self.iter().map(|(target, _)| target);
+        let limited = limited.filter(|target| is_gone(target)).cloned();
         let limited = limited.collect();
-        self.known.retain(|target, _| !gone(target));
+        self.known.retain(|target, _| !is_gone(target));
         limited
     }
 }
--- a/crates/gateway/src/decide/limits/word.rs
+++ b/crates/gateway/src/decide/limits/report.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of limits.
+//! Limit reports between instances.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 
 use super::request_rate::RequestRate;
 
-/// What a target said last, as one instance heard it.
+/// The latest limit of a target, as received by one instance.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// The target.
     pub target: TargetId,
-    /// Its limit; none: it names none any more.
+    /// The limit; `None` if it was lifted.
     pub limit: Option<RequestRate>,
-    /// Milliseconds since then.
+    /// Milliseconds since the target reported it.
     pub age_ms: u32,
 }
 
-impl LimitWord {
+impl LimitReport {
     pub(super) fn age(&self) -> Duration {
         Duration::from_millis(u64::from(self.age_ms))
     }
--- a/crates/gateway/src/decide/picking.rs
+++ b/crates/gateway/src/decide/picking.rs
@@ -39,7 +39,7 @@
         if self.limits.is_empty() {
             return self.pick_any(ticket, call, tried, draw, now);
         }
-        let limited = self.limits.all().map(|(target, _)| target);
+        let limited = self.limits.iter().map(|(target, _)| target);
         let of_service = |target: &&TargetId| {
             let known = self.registry.get(target);
             known.is_some_and(|known| known.service == ticket.service)
@@ -48,7 +48,7 @@
         if limited.is_empty() {
             return self.pick_any(ticket, call, tried, draw, now);
         }
-        let rested = |target: &&TargetId| !self.limits.may_be_over(target, now);
+        let rested = |target: &&TargetId| !self.limits.may_be_lifted(target, now);
         let mut left_out = tried.to_vec();
         left_out.extend(limited.iter().filter(rested).cloned());
         let first = self.pick_within_limits(ticket, call, &mut left_out, draw, now);
@@ -109,12 +109,12 @@
                     target,
                     in_flight: own + others.requests,
                     wait: self.queues.reading(&target.id, prompts),
-                    reading: self.queues.reading(&target.id, call.prompt.0),
+                    reading: self.queues.reading(&target.id, call.prompt_tokens.0),
                     longest_wait: self.queues.longest_wait(&target.id, now),
                     connectable: own < limit,
                     // An adapter that is loaded where little is taken serves few.
                     loadable: self.loader_reachable(&target.id, now)
-                        && self.limits.of(&target.id).is_none(),
+                        && self.limits.get(&target.id).is_none(),
                     places: self.places(&target.id, now),
                 }
             })
@@ -132,7 +132,7 @@
         };
         let pick = match &call.wanted {
             Some(wanted) if is_engine(config, &ticket.service) => {
-                pick_engine(&candidates, wanted, call.prompt_start, &known)
+                pick_engine(&candidates, wanted, call.prompt_prefix, &known)
             }
             _ => pick_plain(&candidates, &known),
         };
@@ -157,10 +157,11 @@
         draw: f64,
         now: Time,
     ) -> Pick {
-        if self.quarantine.suspicion(request) > 0 {
+        if self.quarantine.crash_count(request) > 0 {
             let targets = self.registry.all().map(|target| &target.id);
             let others = targets.filter(|id| {
-                self.suspects_at.contains_key(*id) || !self.quarantine.is_apart(request, id)
+                self.suspects_at.contains_key(*id)
+                    || !self.quarantine.is_in_suspect_partition(request, id)
             });
             let left_out = tried.iter().chain(others).cloned().collect::<Vec<_>>();
             let pick = self.pick(ticket, call, &left_out, draw, now);
--- a/crates/gateway/src/decide/quarantine/fingerprint.rs
+++ b/crates/gateway/src/decide/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Names a request by what it asks, so that it is known again.
+//! Fingerprints that identify requests with the same content.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,22 +8,23 @@
 use sha2::{Digest, Sha256};
 
 /// Bytes of the digest that are kept.
-const LEN: usize = 16;
-/// Keeps these digests apart from others of the same bytes.
-const KEY_OF: &str = "bluebellstage request fingerprint";
+const FINGERPRINT_BYTES: usize = 16;
+/// Context of the digest key; separates fingerprints from other digests of the same bytes.
+const KEY_CONTEXT: &str = "bluebellstage request fingerprint";
 
-/// Digest of a request's workspace, path and body, keyed by the workspace; the same at every instance.
+/// Digest of a request's workspace, path and body, keyed by the workspace. All instances compute the same
+/// fingerprint for the same request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(try_from = "Box<str>", into = "Box<str>")]
-pub struct Fingerprint([u8; LEN]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// Fingerprint of a request; `path` holds the query, too.
+    /// Computes the fingerprint of a request; `path` includes the query.
     #[must_use]
     pub fn of(workspace: Option<&WorkspaceId>, path: &str, body: &[u8]) -> Self {
         let workspace = workspace.map_or("", WorkspaceId::as_str);
         let key = Sha256::new()
-            .chain_update(KEY_OF)
+            .chain_update(KEY_CONTEXT)
             .chain_update(workspace)
             .finalize();
         let path_len = path.len().to_be_bytes();
@@ -33,12 +34,12 @@
             .chain_update(path)
             .chain_update(body)
             .finalize();
-        let mut kept = [0; LEN];
-        kept.copy_from_slice(&digest[..LEN]);
-        Self(kept)
+        let mut truncated = [0; FINGERPRINT_BYTES];
+        truncated.copy_from_slice(&digest[..FINGERPRINT_BYTES]);
+        Self(truncated)
     }
 
-    /// The first bytes, as a number.
+    /// Returns the first 8 bytes as a big-endian number.
     #[must_use]
     pub fn bits(self) -> u64 {
         let mut first = [0; 8];
@@ -53,7 +54,7 @@
     }
 }
 
-/// A text that names no request.
+/// Error for a text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not a fingerprint: give the 32 hexadecimal digits that the log shows")]
 pub struct BadFingerprint;
@@ -76,7 +77,8 @@
     type Err = BadFingerprint;
 
     fn from_str(text: &str) -> Result<Self, BadFingerprint> {
-        if text.len() != LEN * 2 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        if text.len() != FINGERPRINT_BYTES * 2 || !text.bytes().all(|byte| byte.is_ascii_hexdigit())
+        {
             return Err(BadFingerprint);
         }
         let number = u128::from_str_radix(text, 16).map_err(|_no_number| BadFingerprint)?;
--- a/crates/gateway/src/decide/quarantine/mod.rs
+++ b/crates/gateway/src/decide/quarantine/mod.rs
@@ -1,14 +1,15 @@
-//! Keeps requests under which targets end from ending more of them.
+//! Stops requests that crash targets from crashing more of them.
 //!
-//! When a target ends, all requests that it ran are cut, and one of them may be the cause. Instances tell each
-//! other which were cut and how long each had run. A request is refused once chance no longer explains that it
-//! was on so many ended targets; an answer that came whole proves it harmless. Verdicts last: every instance
-//! keeps them, newcomers copy them, and the store keeps them for a fleet that starts anew.
+//! When a target crashes, all requests that it ran are interrupted, and one of them may be the cause.
+//! Instances report to each other which requests were interrupted and how long each had run. A request is
+//! refused once it was on so many crashed targets that coincidence is ruled out; a complete response clears
+//! it of suspicion. Decisions outlive single instances: every instance keeps them, new instances copy them
+//! from peers, and the store keeps them for a fleet that restarts as a whole.
 
+mod decision;
 mod fingerprint;
+mod message;
 mod suspects;
-mod verdict;
-mod word;
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -16,100 +17,107 @@
 use bluebellstage_core::{TargetId, Time};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+pub use self::decision::{AgedDecision, DecisionKind, QuarantineDecision};
 pub use self::fingerprint::{BadFingerprint, Fingerprint};
+pub use self::message::{Crash, InterruptedRun, QuarantineMessage};
 use self::suspects::Suspects;
-pub use self::verdict::{AgedVerdict, Decision, Verdict};
-pub use self::word::{CutRun, Ended, Word};
 use super::rendezvous::{ShortHash, weight};
 
-/// How long a verdict holds.
-pub const VERDICT_LASTS: Duration = Duration::from_hours(1);
-/// Verdicts that are kept; the oldest goes first.
-const MOST_VERDICTS: usize = 1_024;
-/// How long a whole answer proves that its request is harmless: targets don't end under it.
-const SERVED_LASTS: Duration = Duration::from_secs(10);
-/// Requests whose whole answers are remembered.
-const MOST_SERVED: usize = 2_048;
-/// Rounds in which a word is told again, as datagrams are lost.
-const TOLD_AGAIN: u32 = 3;
-/// Parts of the targets, of which a suspect has one.
-const PARTS: u64 = 3;
-/// Time after an end in which the others' words on it come.
-pub const JUDGED_AFTER: Duration = Duration::from_millis(50);
-/// Runs in one word, so that it fits a datagram.
-const CUTS_IN_A_WORD: usize = 48;
+/// How long a decision stays in force.
+pub const DECISION_TTL: Duration = Duration::from_hours(1);
+/// Maximum number of decisions kept; the oldest is evicted first.
+const MAX_DECISIONS: usize = 1_024;
+/// How long a complete response clears its request of suspicion: a target did not crash under it.
+const SERVED_TTL: Duration = Duration::from_secs(10);
+/// Maximum number of requests whose complete responses are remembered.
+const MAX_SERVED: usize = 2_048;
+/// Number of rounds in which a message is sent again, as datagrams may be lost.
+const RESEND_ROUNDS: u32 = 3;
+/// A suspect may be sent to one in this many targets.
+const TARGET_PARTITIONS: u64 = 3;
+/// Time to wait after a crash for the messages of peers about it before its requests are evaluated.
+pub const EVALUATION_DELAY: Duration = Duration::from_millis(50);
+/// Maximum number of runs in one message, so that it fits into a datagram.
+const MAX_RUNS_PER_MESSAGE: usize = 48;
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
-    verdict: Verdict,
+struct StoredDecision {
+    decision: QuarantineDecision,
     since: Time,
 }
 
-fn part_of_digest(verdict: &Verdict) -> u64 {
-    let revision = u64::from(verdict.revision);
-    xxh3_64_with_seed(&verdict.request.bits().to_le_bytes(), revision)
+fn digest_of(decision: &QuarantineDecision) -> u64 {
+    let revision = u64::from(decision.revision);
+    xxh3_64_with_seed(&decision.request.bits().to_le_bytes(), revision)
 }
 
-/// Requests under which targets end, and those that may be.
+/// Requests that crash targets, and requests suspected of it.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: Suspects,
-    verdicts: HashMap<Fingerprint, Held>,
-    /// Of all verdicts.
+    decisions: HashMap<Fingerprint, StoredDecision>,
+    /// Combined digest of all decisions.
     digest: u64,
-    /// Requests that were answered whole lately, and the order of that.
+    /// Requests that recently received a complete response and when, with their order.
     served: HashMap<Fingerprint, Time>,
     served_order: VecDeque<(Time, Fingerprint)>,
-    /// Own words that are told again, with the rounds that are left.
-    telling: Vec<(Word, u32)>,
-    /// Words of others, for those that ask this instance for news, and when they came.
-    passed_on: Vec<(Word, Time)>,
+    /// Messages of this instance to send again, with the rounds that remain for each.
+    resend_queue: Vec<(QuarantineMessage, u32)>,
+    /// Messages of other instances to forward to this instance's subscribers, with the time at which they
+    /// were received.
+    forward_queue: Vec<(QuarantineMessage, Time)>,
 }
 
 impl Quarantine {
-    /// Whether a request must not be sent to a target.
+    /// Returns whether a request must not be sent to a target.
     #[must_use]
-    pub fn refuses(&self, request: Fingerprint) -> bool {
-        let held = self.verdicts.get(&request);
-        held.is_some_and(|held| held.verdict.decision == Decision::Refused)
+    pub fn is_refused(&self, request: Fingerprint) -> bool {
+        let held = self.decisions.get(&request);
+        held.is_some_and(|held| held.decision.kind == DecisionKind::Refused)
     }
 
-    /// Whether this life of a target is known to have ended.
+    /// Returns whether this incarnation of a target is known to have crashed.
     #[must_use]
-    pub fn has_ended(&self, life: ShortHash) -> bool {
-        self.suspects.has_ended(life)
+    pub fn has_crashed(&self, incarnation: ShortHash) -> bool {
+        self.suspects.has_crashed(incarnation)
     }
 
-    /// On how many targets that ended a request was; it is not known whether by chance.
+    /// Returns how many crashed targets were running a request; this may be a coincidence.
     #[must_use]
-    pub fn suspicion(&self, request: Fingerprint) -> usize {
-        self.suspects.count(request)
+    pub fn crash_count(&self, request: Fingerprint) -> usize {
+        self.suspects.crash_count(request)
     }
 
-    /// Whether a suspect may be sent to a target. Each has a part of the targets of its own, another one after
-    /// each end: sent together again, the cause and a bystander could not be told apart.
+    /// Returns whether a suspect may be sent to a target. Each suspect is limited to its own subset of the
+    /// targets, which changes after each crash: if the cause and a bystander were sent to the same targets
+    /// again, they could not be told apart.
     #[must_use]
-    pub fn is_apart(&self, request: Fingerprint, target: &TargetId) -> bool {
-        let seed = request.bits().wrapping_add(self.suspicion(request) as u64);
-        weight(seed, target.as_str()).is_multiple_of(PARTS)
+    pub fn is_in_suspect_partition(&self, request: Fingerprint, target: &TargetId) -> bool {
+        let seed = request
+            .bits()
+            .wrapping_add(self.crash_count(request) as u64);
+        weight(seed, target.as_str()).is_multiple_of(TARGET_PARTITIONS)
     }
 
-    /// A target ended under requests of this instance. Gives the words for the others.
-    pub fn ended(&mut self, ended: &Ended, now: Time) -> Vec<Word> {
-        let parts = ended.cuts.chunks(CUTS_IN_A_WORD).map(|cuts| Ended {
-            cuts: cuts.to_vec(),
-            ..ended.clone()
-        });
-        let words = parts.map(Word::Ended).collect::<Vec<_>>();
-        for word in &words {
-            self.take(word, now);
+    /// Records that a target crashed under requests of this instance. Returns the messages to send to peers.
+    pub fn record_crash(&mut self, crash: &Crash, now: Time) -> Vec<QuarantineMessage> {
+        let chunks = crash
+            .interrupted
+            .chunks(MAX_RUNS_PER_MESSAGE)
+            .map(|interrupted| Crash {
+                interrupted: interrupted.to_vec(),
+                ..crash.clone()
+            });
+        let messages = chunks.map(QuarantineMessage::Crashed).collect::<Vec<_>>();
+        for message in &messages {
+            self.apply(message, now);
         }
-        words
+        messages
     }
 
-    /// Judges requests of this instance that were on a target which ended [`JUDGED_AFTER`] ago. Gives those
-    /// that are refused from now on.
-    pub fn judge(&mut self, requests: &[Fingerprint], now: Time) -> Vec<Verdict> {
+    /// Evaluates requests of this instance that were on a target which crashed [`EVALUATION_DELAY`] ago.
+    /// Returns the decisions on those that are refused from now on.
+    pub fn evaluate(&mut self, requests: &[Fingerprint], now: Time) -> Vec<QuarantineDecision> {
         let causes = requests.iter().copied();
         let causes = causes.filter(|request| self.suspects.is_cause(*request));
         let causes = causes.collect::<Vec<_>>();
@@ -117,103 +125,106 @@
         refused.collect()
     }
 
-    /// A request was answered whole. Gives the word for the others if it was suspected.
-    pub fn served(&mut self, request: Fingerprint, now: Time) -> Option<Word> {
-        self.note_served(request, now);
-        let was_suspect = self.suspects.forget(request);
-        was_suspect.then_some(Word::Served(request))
+    /// Records a complete response to a request. Returns the message to send to peers if the request was a
+    /// suspect.
+    pub fn record_served(&mut self, request: Fingerprint, now: Time) -> Option<QuarantineMessage> {
+        self.remember_served(request, now);
+        let was_suspect = self.suspects.remove(request);
+        was_suspect.then_some(QuarantineMessage::Served(request))
     }
 
-    /// Takes in what another instance told; false if it is known.
-    pub fn take(&mut self, word: &Word, now: Time) -> bool {
-        match word {
-            Word::Ended(ended) => self.take_ended(ended, now),
-            Word::Served(request) => {
-                self.note_served(*request, now);
-                self.suspects.forget(*request)
+    /// Applies a message of another instance; returns false if it contains nothing new.
+    pub fn apply(&mut self, message: &QuarantineMessage, now: Time) -> bool {
+        match message {
+            QuarantineMessage::Crashed(crash) => self.apply_crash(crash, now),
+            QuarantineMessage::Served(request) => {
+                self.remember_served(*request, now);
+                self.suspects.remove(*request)
             }
-            Word::Decided(verdict) => self.adopt(*verdict, Duration::ZERO, now),
+            QuarantineMessage::Decided(decision) => self.adopt(*decision, Duration::ZERO, now),
         }
     }
 
-    fn take_ended(&mut self, ended: &Ended, now: Time) -> bool {
-        let at = now - Duration::from_millis(u64::from(ended.age_ms));
-        let doubtful = ended.cuts.iter();
-        let doubtful = doubtful.filter(|cut| !self.served_lately(cut.request, at));
-        let doubtful = Ended {
-            cuts: doubtful.copied().collect(),
-            ..ended.clone()
+    fn apply_crash(&mut self, crash: &Crash, now: Time) -> bool {
+        let at = now - Duration::from_millis(u64::from(crash.age_ms));
+        let suspicious = crash.interrupted.iter();
+        let suspicious = suspicious.filter(|run| !self.was_served_recently(run.request, at));
+        let suspicious = Crash {
+            interrupted: suspicious.copied().collect(),
+            ..crash.clone()
         };
-        let is_new = self.suspects.note(&doubtful, now);
-        // One that was sent before it was refused explains this end, too.
-        let causes = ended.cuts.iter().map(|cut| cut.request);
+        let is_new = self.suspects.record(&suspicious, now);
+        // A refused request that was sent before its refusal explains this crash, too.
+        let causes = crash.interrupted.iter().map(|run| run.request);
         for cause in causes
-            .filter(|request| self.refuses(*request))
+            .filter(|request| self.is_refused(*request))
             .collect::<Vec<_>>()
         {
-            self.suspects.explain(cause);
+            self.suspects.mark_explained(cause);
         }
         is_new
     }
 
-    fn refuse(&mut self, request: Fingerprint, now: Time) -> Verdict {
-        let before = self.verdicts.get(&request).map(|held| held.verdict);
-        let verdict = Verdict::next(request, Decision::Refused, before.as_ref());
-        self.adopt(verdict, Duration::ZERO, now);
-        verdict
+    fn refuse(&mut self, request: Fingerprint, now: Time) -> QuarantineDecision {
+        let before = self.decisions.get(&request).map(|held| held.decision);
+        let decision = QuarantineDecision::next(request, DecisionKind::Refused, before.as_ref());
+        self.adopt(decision, Duration::ZERO, now);
+        decision
     }
 
-    /// An operator lets a request through again; none if it is not refused.
-    pub fn clear(&mut self, request: Fingerprint, now: Time) -> Option<Verdict> {
-        let before = self.verdicts.get(&request)?.verdict;
-        if before.decision != Decision::Refused {
+    /// Lets a request through again at an operator's command; returns `None` if it is not refused.
+    pub fn clear(&mut self, request: Fingerprint, now: Time) -> Option<QuarantineDecision> {
+        let before = self.decisions.get(&request)?.decision;
+        if before.kind != DecisionKind::Refused {
             return None;
         }
-        let verdict = Verdict::next(request, Decision::Cleared, Some(&before));
-        self.adopt(verdict, Duration::ZERO, now);
-        Some(verdict)
+        let decision = QuarantineDecision::next(request, DecisionKind::Cleared, Some(&before));
+        self.adopt(decision, Duration::ZERO, now);
+        Some(decision)
     }
 
-    /// Puts a verdict of some age in force; false if it is known, replaced by a newer one, or out of date.
-    pub fn adopt(&mut self, verdict: Verdict, age: Duration, now: Time) -> bool {
-        let request = verdict.request;
-        let known = self.verdicts.get(&request);
-        let known = known.is_some_and(|known| !verdict.replaces(&known.verdict));
-        if known || age >= VERDICT_LASTS {
+    /// Puts a decision of the given age in force. Returns false if it is known, superseded by a newer one, or
+    /// expired.
+    pub fn adopt(&mut self, decision: QuarantineDecision, age: Duration, now: Time) -> bool {
+        let request = decision.request;
+        let known = self.decisions.get(&request);
+        let known = known.is_some_and(|known| !decision.replaces(&known.decision));
+        if known || age >= DECISION_TTL {
             return false;
         }
-        if verdict.decision == Decision::Refused {
-            self.suspects.explain(request);
+        if decision.kind == DecisionKind::Refused {
+            self.suspects.mark_explained(request);
         }
-        self.suspects.forget(request);
-        self.drop_verdict(request);
-        if self.verdicts.len() >= MOST_VERDICTS {
-            let oldest = self.verdicts.iter().min_by_key(|(_, held)| held.since);
+        self.suspects.remove(request);
+        self.remove_decision(request);
+        if self.decisions.len() >= MAX_DECISIONS {
+            let oldest = self.decisions.iter().min_by_key(|(_, held)| held.since);
             if let Some(oldest) = oldest.map(|(request, _)| *request) {
-                self.drop_verdict(oldest);
+                self.remove_decision(oldest);
             }
         }
-        self.digest ^= part_of_digest(&verdict);
+        self.digest ^= digest_of(&decision);
         let since = now - age;
-        self.verdicts.insert(request, Held { verdict, since });
+        self.decisions
+            .insert(request, StoredDecision { decision, since });
         true
     }
 
-    fn drop_verdict(&mut self, request: Fingerprint) {
-        if let Some(held) = self.verdicts.remove(&request) {
-            self.digest ^= part_of_digest(&held.verdict);
+    fn remove_decision(&mut self, request: Fingerprint) {
+        if let Some(held) = self.decisions.remove(&request) {
+            self.digest ^= digest_of(&held.decision);
         }
     }
 
-    fn note_served(&mut self, request: Fingerprint, now: Time) {
+    fn remember_served(&mut self, request: Fingerprint, now: Time) {
         self.served.insert(request, now);
         self.served_order.push_back((now, request));
-        while self.served_order.len() > MOST_SERVED {
-            self.forget_first_served();
+        while self.served_order.len() > MAX_SERVED {
+            self.forget_oldest_served();
         }
     }
 
-    fn forget_first_served(&mut self) {
+    fn forget_oldest_served(&mut self) {
         let Some((at, request)) = self.served_order.pop_front() else {
             return;
         };
@@ -222,90 +233,95 @@
         }
     }
 
-    /// Whether a request was answered whole shortly before `at`, or since.
-    fn served_lately(&self, request: Fingerprint, at: Time) -> bool {
+    /// Returns whether a request received a complete response shortly before `at`, or after it.
+    fn was_served_recently(&self, request: Fingerprint, at: Time) -> bool {
         let served = self.served.get(&request);
-        served.is_some_and(|served| at.since(*served) < SERVED_LASTS)
+        served.is_some_and(|served| at.since(*served) < SERVED_TTL)
     }
 
-    /// Tells words again in the next rounds.
-    pub fn tell_again(&mut self, words: impl IntoIterator<Item = Word>) {
-        let words = words.into_iter().map(|word| (word, TOLD_AGAIN));
-        self.telling.extend(words);
+    /// Queues messages to be sent again in the next rounds.
+    pub fn queue_resend(&mut self, messages: impl IntoIterator<Item = QuarantineMessage>) {
+        let messages = messages.into_iter().map(|message| (message, RESEND_ROUNDS));
+        self.resend_queue.extend(messages);
     }
 
-    /// Has words of others passed on.
-    pub fn pass_on(&mut self, words: Vec<Word>, now: Time) {
-        let words = words.into_iter().map(|word| (word, now));
-        self.passed_on.extend(words);
+    /// Queues messages of other instances to be forwarded to subscribers.
+    pub fn queue_forward(&mut self, messages: Vec<QuarantineMessage>, now: Time) {
+        let messages = messages.into_iter().map(|message| (message, now));
+        self.forward_queue.extend(messages);
     }
 
-    /// Words of others that are to be passed on, older by the time for which they were held.
-    pub fn take_passed_on(&mut self, now: Time) -> Vec<Word> {
-        let held = std::mem::take(&mut self.passed_on).into_iter();
-        let aged = held.map(|(mut word, since)| {
-            word.grow_older(now.since(since));
-            word
+    /// Returns the messages of other instances to be forwarded, with their age increased by the time in the
+    /// queue.
+    pub fn take_forwarded(&mut self, now: Time) -> Vec<QuarantineMessage> {
+        let held = std::mem::take(&mut self.forward_queue).into_iter();
+        let aged = held.map(|(mut message, since)| {
+            message.add_age(now.since(since));
+            message
         });
         aged.collect()
     }
 
-    /// What is to be told in this round, `passed` after the one before.
-    pub fn tell_round(&mut self, passed: Duration) -> Vec<Word> {
-        for (word, left) in &mut self.telling {
-            *left -= 1;
-            word.grow_older(passed);
+    /// Returns the messages to send again in this round, `elapsed` after the previous round.
+    pub fn messages_for_round(&mut self, elapsed: Duration) -> Vec<QuarantineMessage> {
+        for (message, rounds_left) in &mut self.resend_queue {
+            *rounds_left -= 1;
+            message.add_age(elapsed);
         }
-        let words = self.telling.iter().map(|(word, _)| word.clone());
-        let words = words.collect();
-        self.telling.retain(|(_, left)| *left > 0);
-        words
+        let messages = self.resend_queue.iter().map(|(message, _)| message.clone());
+        let messages = messages.collect();
+        self.resend_queue
+            .retain(|(_, rounds_left)| *rounds_left > 0);
+        messages
     }
 
-    /// Verdicts in force.
-    pub fn verdicts(&self, now: Time) -> impl Iterator<Item = AgedVerdict> {
-        self.verdicts.values().map(move |held| AgedVerdict {
-            verdict: held.verdict,
+    /// Returns the decisions in force with their ages.
+    pub fn decisions(&self, now: Time) -> impl Iterator<Item = AgedDecision> {
+        self.decisions.values().map(move |held| AgedDecision {
+            decision: held.decision,
             age: now.since(held.since),
         })
     }
 
-    /// Requests that are refused, with the time for which they are.
+    /// Returns refused requests with the time since each refusal.
     pub fn refused(&self, now: Time) -> impl Iterator<Item = (Fingerprint, Duration)> {
-        let refused = |held: &&Held| held.verdict.decision == Decision::Refused;
-        let held = self.verdicts.values().filter(refused);
-        held.map(move |held| (held.verdict.request, now.since(held.since)))
+        let refused = |held: &&StoredDecision| held.decision.kind == DecisionKind::Refused;
+        let held = self.decisions.values().filter(refused);
+        held.map(move |held| (held.decision.request, now.since(held.since)))
     }
 
-    /// Suspects, with the number of ended targets that each was on.
-    pub fn suspected(&self) -> impl Iterator<Item = (Fingerprint, usize)> {
-        self.suspects.all()
+    /// Returns suspects with the number of crashed targets that each was on.
+    pub fn suspects(&self) -> impl Iterator<Item = (Fingerprint, usize)> {
+        self.suspects.iter()
     }
 
-    /// Tells apart what two instances hold; zero if there is no verdict, or too many: then instances hold
-    /// different ones, and would copy from each other for ever.
+    /// Returns a digest that differs between instances with different decisions. It is zero if there are no
+    /// decisions or the maximum number: at the maximum, instances hold different sets and would copy from
+    /// each other forever.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        if self.verdicts.len() < MOST_VERDICTS {
+        if self.decisions.len() < MAX_DECISIONS {
             self.digest
         } else {
             0
         }
     }
 
-    /// Forgets what is long ago; gives the requests whose verdicts are over.
+    /// Removes expired entries; returns the requests whose decisions have expired.
     pub fn sweep(&mut self, now: Time) -> Vec<Fingerprint> {
         self.suspects.sweep(now);
-        let over = |held: &&Held| now.since(held.since) >= VERDICT_LASTS;
-        let over = self.verdicts.values().filter(over);
-        let over = over.map(|held| held.verdict.request).collect::<Vec<_>>();
-        for request in &over {
-            self.drop_verdict(*request);
+        let expired = |held: &&StoredDecision| now.since(held.since) >= DECISION_TTL;
+        let expired = self.decisions.values().filter(expired);
+        let expired = expired
+            .map(|held| held.decision.request)
+            .collect::<Vec<_>>();
+        for request in &expired {
+            self.remove_decision(*request);
         }
-        let old = |at: &Time| now.since(*at) >= SERVED_LASTS;
+        let old = |at: &Time| now.since(*at) >= SERVED_TTL;
         while self.served_order.front().is_some_and(|(at, _)| old(at)) {
-            self.forget_first_served();
+            self.forget_oldest_served();
         }
-        over
+        expired
     }
 }
--- a/crates/gateway/src/decide/quarantine/suspects.rs
+++ b/crates/gateway/src/decide/quarantine/suspects.rs
@@ -1,4 +1,4 @@
-//! Which requests were on targets that ended, and whether chance explains it.
+//! Tracks which requests were on crashed targets, and tests whether coincidence explains it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -6,160 +6,172 @@
 use bluebellstage_core::Time;
 
 use super::fingerprint::Fingerprint;
-use super::word::Ended;
+use super::message::Crash;
 use crate::decide::rendezvous::ShortHash;
 
-/// Ended targets that are needed for a refusal, however unlikely a chance is.
-const LEAST_ENDED: usize = 2;
-/// Ended targets that are enough however likely a chance is: no caller tries one request so often.
-const ENOUGH_ENDED: usize = 5;
-/// Decimal digits of the chance that any of the suspects met the same as a bystander, from which it counts as
-/// excluded.
-const DIGITS_OF_PROOF: f64 = 7.0;
-/// The same by which the cause stands out among those that were on the same targets.
-const DIGITS_APART: f64 = 2.0;
-/// Shortest run that is told apart from a shorter one.
-const SHORTEST_RUN: Duration = Duration::from_millis(20);
-/// Span over which the rate of ends is taken.
-const RATE_SPAN: Duration = Duration::from_secs(10);
-/// How long an ended target is remembered.
-pub(super) const ENDED_LASTS: Duration = Duration::from_mins(10);
-/// Ended targets that are remembered; the oldest goes first.
-const MOST_ENDED: usize = 256;
-/// Runs that are remembered of one ended target.
-const MOST_CUTS: usize = 512;
+/// Minimum number of crashes for a refusal, however improbable a coincidence is.
+const MIN_CRASHES: usize = 2;
+/// Number of crashes that suffices for a refusal, however probable a coincidence is: no caller retries one
+/// request this often.
+const CERTAIN_CRASHES: usize = 5;
+/// Decimal digits of significance that a refusal needs: the probability that any suspect was in its crashes
+/// as a bystander must be below 1e-7.
+const MIN_SIGNIFICANCE_DIGITS: f64 = 7.0;
+/// Decimal digits by which the cause must exceed every other request that was on the same targets.
+const MIN_LEAD_DIGITS: f64 = 2.0;
+/// Lower bound for run times; shorter runs count as this long.
+const MIN_RUN_TIME: Duration = Duration::from_millis(20);
+/// Window over which the crash rate is computed.
+const RATE_WINDOW: Duration = Duration::from_secs(10);
+/// How long a crashed target is remembered.
+pub(super) const CRASH_RETENTION: Duration = Duration::from_mins(10);
+/// Maximum number of crashed targets remembered; the oldest is evicted first.
+const MAX_CRASHES: usize = 256;
+/// Maximum number of runs remembered per crashed target.
+const MAX_RUNS_PER_CRASH: usize = 512;
 
 #[derive(Debug)]
-struct EndedTarget {
+struct CrashedTarget {
     at: Time,
-    /// Ends a second, of one target, around that time.
+    /// Crashes per second and target around that time.
     rate: f64,
-    /// A request is known to be the cause.
+    /// Whether a request is known to be the cause.
     explained: bool,
     /// How long each request had run.
-    cuts: HashMap<Fingerprint, Duration>,
+    run_times: HashMap<Fingerprint, Duration>,
 }
 
-/// What speaks against a request.
+/// Evidence against a request.
 #[derive(Clone, Copy, Debug, Default)]
-struct Weight {
-    /// Ended targets that it was on, one after the other.
-    ended: usize,
-    /// Those of them that no other request explains.
+struct Evidence {
+    /// Number of crashed targets that ran the request one after the other.
+    crashes: usize,
+    /// Number of those crashes that no other request explains.
     unexplained: usize,
-    /// Decimal digits of the chance that it met them as a bystander.
-    digits: f64,
+    /// Decimal digits of significance: the negative logarithm of the probability that a bystander was in
+    /// these crashes.
+    significance_digits: f64,
 }
 
-/// Weighs what speaks against a request that was on all these targets. Runs that were under way together are one
-/// piece of evidence: an outage cuts them all.
-fn weigh(request: Fingerprint, on: &[&EndedTarget]) -> Weight {
-    let mut weight = Weight::default();
-    let mut last = None;
-    for ended in on {
-        let Some(ran) = ended.cuts.get(&request) else {
+/// Computes the evidence against a request that was on all these targets. Runs that overlapped in time count
+/// as one piece of evidence, as an outage interrupts them all at once.
+fn evidence_against(request: Fingerprint, crashes: &[&CrashedTarget]) -> Evidence {
+    let mut evidence = Evidence::default();
+    let mut last_crash_at = None;
+    for crash in crashes {
+        let Some(run_time) = crash.run_times.get(&request) else {
             continue;
         };
-        if last.is_some_and(|last| ended.at - *ran < last) {
+        if last_crash_at.is_some_and(|last_crash_at| crash.at - *run_time < last_crash_at) {
             continue;
         }
-        last = Some(ended.at);
-        weight.ended += 1;
-        if ended.explained {
+        last_crash_at = Some(crash.at);
+        evidence.crashes += 1;
+        if crash.explained {
             continue;
         }
-        let chance = ended.rate * (*ran).max(SHORTEST_RUN).as_secs_f64();
-        weight.unexplained += 1;
-        weight.digits -= chance.min(1.0).log10();
+        let probability = crash.rate * (*run_time).max(MIN_RUN_TIME).as_secs_f64();
+        evidence.unexplained += 1;
+        evidence.significance_digits -= probability.min(1.0).log10();
     }
-    weight
+    evidence
 }
 
-/// Whether what speaks against a request is clearly more than for each other that was on the same targets.
-fn stands_out(request: Fingerprint, weight: Weight, on: &[&EndedTarget]) -> bool {
-    let unexplained = on.iter().filter(|ended| !ended.explained);
+/// Returns whether the evidence against a request clearly exceeds that against every other request on the
+/// same targets.
+fn exceeds_rivals(request: Fingerprint, evidence: Evidence, crashes: &[&CrashedTarget]) -> bool {
+    let unexplained = crashes.iter().filter(|crash| !crash.explained);
     let unexplained = unexplained.copied().collect::<Vec<_>>();
     let Some(first) = unexplained.first() else {
         return false;
     };
     let on_all = |rival: &Fingerprint| {
         let mut others = unexplained.iter();
-        others.all(|ended| ended.cuts.contains_key(rival))
+        others.all(|crash| crash.run_times.contains_key(rival))
     };
-    let rivals = first.cuts.keys().copied();
+    let rivals = first.run_times.keys().copied();
     let mut rivals = rivals.filter(|rival| *rival != request && on_all(rival));
-    rivals.all(|rival| weigh(rival, &unexplained).digits + DIGITS_APART <= weight.digits)
+    rivals.all(|rival| {
+        evidence_against(rival, &unexplained).significance_digits + MIN_LEAD_DIGITS
+            <= evidence.significance_digits
+    })
 }
 
-/// Ended targets with the requests that they took with them.
+/// Crashed targets and the requests that they interrupted.
 #[derive(Debug, Default)]
 pub(super) struct Suspects {
-    ended: BTreeMap<ShortHash, EndedTarget>,
-    /// In how many of them each request is.
+    crashes: BTreeMap<ShortHash, CrashedTarget>,
+    /// Number of crashed targets that each request was on.
     counts: HashMap<Fingerprint, usize>,
 }
 
-#[expect(clippy::cast_precision_loss, reason = "a few hundred targets end")]
-fn number(count: usize) -> f64 {
+#[expect(
+    clippy::cast_precision_loss,
+    reason = "at most a few hundred targets are counted"
+)]
+fn to_f64(count: usize) -> f64 {
     count as f64
 }
 
 impl Suspects {
-    /// Notes an ended target, or further runs on one that is known; false if all of them are.
-    pub(super) fn note(&mut self, word: &Ended, now: Time) -> bool {
-        let at = now - Duration::from_millis(u64::from(word.age_ms));
-        if !self.ended.contains_key(&word.life) {
-            self.make_room();
-            let rate = self.rate_with_another(word.targets, at);
-            let ended = EndedTarget {
+    /// Records a crashed target, or further runs on a known one; returns false if all of them are known.
+    pub(super) fn record(&mut self, report: &Crash, now: Time) -> bool {
+        let at = now - Duration::from_millis(u64::from(report.age_ms));
+        if !self.crashes.contains_key(&report.incarnation) {
+            self.evict_oldest_if_full();
+            let rate = self.crash_rate_including(report.targets, at);
+            let crash = CrashedTarget {
                 at,
                 rate,
                 explained: false,
-                cuts: HashMap::new(),
+                run_times: HashMap::new(),
             };
-            self.ended.insert(word.life, ended);
+            self.crashes.insert(report.incarnation, crash);
         }
-        let Some(ended) = self.ended.get_mut(&word.life) else {
+        let Some(crash) = self.crashes.get_mut(&report.incarnation) else {
             return false;
         };
         let mut is_new = false;
-        for cut in &word.cuts {
-            if ended.cuts.len() < MOST_CUTS && !ended.cuts.contains_key(&cut.request) {
-                ended.cuts.insert(cut.request, cut.ran());
-                *self.counts.entry(cut.request).or_default() += 1;
+        for run in &report.interrupted {
+            if crash.run_times.len() < MAX_RUNS_PER_CRASH
+                && !crash.run_times.contains_key(&run.request)
+            {
+                crash.run_times.insert(run.request, run.run_time());
+                *self.counts.entry(run.request).or_default() += 1;
                 is_new = true;
             }
         }
         is_new
     }
 
-    /// Ends a second of one target, one that ended at `at` included.
-    fn rate_with_another(&self, targets: u32, at: Time) -> f64 {
-        let near = |ended: &&EndedTarget| ended.at.since(at).max(at.since(ended.at)) < RATE_SPAN;
-        let ends = 1 + self.ended.values().filter(near).count();
-        number(ends) / (f64::from(targets.max(1)) * RATE_SPAN.as_secs_f64())
+    /// Returns the crash rate per second and target, including a crash at `at`.
+    fn crash_rate_including(&self, targets: u32, at: Time) -> f64 {
+        let is_near =
+            |crash: &&CrashedTarget| crash.at.since(at).max(at.since(crash.at)) < RATE_WINDOW;
+        let crash_count = 1 + self.crashes.values().filter(is_near).count();
+        to_f64(crash_count) / (f64::from(targets.max(1)) * RATE_WINDOW.as_secs_f64())
     }
 
-    fn make_room(&mut self) {
-        if self.ended.len() < MOST_ENDED {
+    fn evict_oldest_if_full(&mut self) {
+        if self.crashes.len() < MAX_CRASHES {
             return;
         }
-        let oldest = self.ended.iter().min_by_key(|(_, ended)| ended.at);
-        if let Some(life) = oldest.map(|(life, _)| *life) {
-            self.drop_ended(life);
+        let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
+        if let Some(incarnation) = oldest.map(|(incarnation, _)| *incarnation) {
+            self.remove_crash(incarnation);
         }
     }
 
-    fn drop_ended(&mut self, life: ShortHash) {
-        let Some(ended) = self.ended.remove(&life) else {
+    fn remove_crash(&mut self, incarnation: ShortHash) {
+        let Some(crash) = self.crashes.remove(&incarnation) else {
             return;
         };
-        for request in ended.cuts.into_keys() {
-            self.uncount(request);
+        for request in crash.run_times.into_keys() {
+            self.decrement_count(request);
         }
     }
 
-    fn uncount(&mut self, request: Fingerprint) {
+    fn decrement_count(&mut self, request: Fingerprint) {
         if let Some(count) = self.counts.get_mut(&request) {
             *count -= 1;
             if *count == 0 {
@@ -168,75 +180,80 @@
         }
     }
 
-    /// The request is proved harmless; false if it was no suspect.
-    pub(super) fn forget(&mut self, request: Fingerprint) -> bool {
+    /// Removes a request that was cleared of suspicion; returns false if it was no suspect.
+    pub(super) fn remove(&mut self, request: Fingerprint) -> bool {
         if self.counts.remove(&request).is_none() {
             return false;
         }
-        for ended in self.ended.values_mut() {
-            ended.cuts.remove(&request);
+        for crash in self.crashes.values_mut() {
+            crash.run_times.remove(&request);
         }
         true
     }
 
-    /// A request is known to be the cause: the others that were on its targets met it by chance.
-    pub(super) fn explain(&mut self, cause: Fingerprint) {
-        let with = self.ended.values_mut();
-        for ended in with.filter(|ended| ended.cuts.contains_key(&cause)) {
-            ended.explained = true;
+    /// Marks the crashes of a known cause as explained: other requests on the same targets are bystanders.
+    pub(super) fn mark_explained(&mut self, cause: Fingerprint) {
+        let crashes = self.crashes.values_mut();
+        for crash in crashes.filter(|crash| crash.run_times.contains_key(&cause)) {
+            crash.explained = true;
         }
     }
 
-    /// Requests that were on ended targets, with how many of them.
-    pub(super) fn all(&self) -> impl Iterator<Item = (Fingerprint, usize)> {
+    /// Returns requests that were on crashed targets, with the number of these targets.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (Fingerprint, usize)> {
         self.counts
             .iter()
             .map(|(request, count)| (*request, *count))
     }
 
-    /// Whether this life of a target is known to have ended.
-    pub(super) fn has_ended(&self, life: ShortHash) -> bool {
-        self.ended.contains_key(&life)
+    /// Returns whether this incarnation of a target is known to have crashed.
+    pub(super) fn has_crashed(&self, incarnation: ShortHash) -> bool {
+        self.crashes.contains_key(&incarnation)
     }
 
-    /// On how many ended targets a request was.
-    pub(super) fn count(&self, request: Fingerprint) -> usize {
+    /// Returns how many crashed targets a request was on.
+    pub(super) fn crash_count(&self, request: Fingerprint) -> usize {
         self.counts.get(&request).copied().unwrap_or(0)
     }
 
-    /// Whether targets end under a request, as chance alone doesn't explain that it was there.
+    /// Returns whether targets crash because of a request, as coincidence alone does not explain its
+    /// presence.
     ///
-    /// A bystander that runs for a span is cut by chance with the rate of ends times the span. The cause is cut
-    /// each time, soon after it began. Of two that were on the same ended targets neither is the cause for
-    /// sure, unless one stands out.
+    /// The probability that a run of a bystander is interrupted is the crash rate times the run time. The
+    /// cause is interrupted each time, soon after it starts. If two requests were on the same crashed
+    /// targets, neither is known to be the cause unless the evidence against one clearly exceeds that against
+    /// the other.
     pub(super) fn is_cause(&self, request: Fingerprint) -> bool {
-        let on = self.with(request);
-        let weight = weigh(request, &on);
-        if weight.ended >= ENOUGH_ENDED {
+        let crashes = self.crashes_of(request);
+        let evidence = evidence_against(request, &crashes);
+        if evidence.crashes >= CERTAIN_CRASHES {
             return true;
         }
-        let suspects = number(self.counts.len().max(1));
-        let needed = DIGITS_OF_PROOF + suspects.log10();
-        let proved = weight.unexplained >= LEAST_ENDED && weight.digits >= needed;
-        proved && stands_out(request, weight, &on)
+        let suspects = to_f64(self.counts.len().max(1));
+        let needed = MIN_SIGNIFICANCE_DIGITS + suspects.log10();
+        let is_significant =
+            evidence.unexplained >= MIN_CRASHES && evidence.significance_digits >= needed;
+        is_significant && exceeds_rivals(request, evidence, &crashes)
     }
 
-    /// Ended targets that a request was on, the first one first.
-    fn with(&self, request: Fingerprint) -> Vec<&EndedTarget> {
-        let with = self.ended.values();
-        let with = with.filter(|ended| ended.cuts.contains_key(&request));
-        let mut with = with.collect::<Vec<_>>();
-        with.sort_by_key(|ended| ended.at);
-        with
+    /// Returns the crashed targets that a request was on, in order of time.
+    fn crashes_of(&self, request: Fingerprint) -> Vec<&CrashedTarget> {
+        let crashes = self.crashes.values();
+        let crashes = crashes.filter(|crash| crash.run_times.contains_key(&request));
+        let mut crashes = crashes.collect::<Vec<_>>();
+        crashes.sort_by_key(|crash| crash.at);
+        crashes
     }
 
-    /// Forgets what is long ago.
+    /// Removes expired crashes.
     pub(super) fn sweep(&mut self, now: Time) {
-        let old = self.ended.iter();
-        let old = old.filter(|(_, ended)| now.since(ended.at) > ENDED_LASTS);
-        let lives = old.map(|(life, _)| *life).collect::<Vec<_>>();
-        for life in lives {
-            self.drop_ended(life);
+        let expired = self.crashes.iter();
+        let expired = expired.filter(|(_, crash)| now.since(crash.at) > CRASH_RETENTION);
+        let incarnations = expired
+            .map(|(incarnation, _)| *incarnation)
+            .collect::<Vec<_>>();
+        for incarnation in incarnations {
+            self.remove_crash(incarnation);
         }
     }
 }
--- a/crates/gateway/src/decide/quota.rs
+++ b/crates/gateway/src/decide/quota.rs
@@ -1,12 +1,11 @@
-//! Quotas of workspaces, and limits of targets, held over all instances together.
+//! Quotas of workspaces and limits of targets, enforced over all instances together.
 //!
-//! Every instance keeps a bucket for each of them. It takes its own charges out at once and its
-//! peers' charges when their counts arrive, a fraction of a second later; until then it assumes that
-//! they go on as lately, so that a workspace far beyond its rate isn't let in by all at once whenever
-//! the bucket has something. What a peer that fell silent may spend meanwhile is taken out as an even
-//! share of the rate, and that peer, which hears nobody either, spends no more than such a share.
-//! Charges that arrive late drive the bucket below zero, so an overrun is paid back and doesn't add
-//! up.
+//! Every instance keeps a token bucket for each account. It deducts its own charges at once and the charges
+//! of its peers when their counts arrive, a fraction of a second later. Until then it assumes that peers go
+//! on spending at their recent rate; otherwise all instances would admit requests of a workspace far beyond
+//! its rate whenever the bucket holds tokens. For a peer that became unresponsive, an even share of the rate
+//! is deducted; that peer, which receives no messages either, spends no more than such a share. Charges that
+//! arrive late drive the bucket below zero, so an overrun is paid back and does not add up.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,241 +18,256 @@
 use super::dump::QuotaDump;
 use super::rendezvous::ShortHash;
 
-/// Spending of one workspace, counted since the process started.
-pub type Spent = u64;
+/// Units that an account spent since the process started.
+pub type SpentUnits = u64;
 
-/// What an instance tells of its spending in one account.
+/// An instance's report of its spending in one account.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct SpentWord {
+pub struct SpendReport {
     /// The account.
     pub account: ShortHash,
-    /// What it has spent since it started.
-    pub total: Spent,
-    /// What of it since its last word: all that counts for one who heard none before.
-    pub lately: Spent,
+    /// Units spent since the instance started.
+    pub total: SpentUnits,
+    /// Units spent since its last report; a receiver without an earlier report counts only these.
+    pub recent: SpentUnits,
 }
 
-/// How well an instance knows what its peers spend.
+/// How much an instance knows about the spending of its peers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sharing {
-    /// Part of all instances that were heard lately but not now, between 0 and 1.
-    pub silent: f64,
-    /// Mean age of what the others told.
-    pub lag: Duration,
+pub struct PeerVisibility {
+    /// Fraction of all instances that were recently seen but are unresponsive now, between 0 and 1.
+    pub silent_fraction: f64,
+    /// Mean age of the peers' reports.
+    pub staleness: Duration,
 }
 
-/// Answer to a charge.
+/// Result of a charge.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Charged {
-    /// The request may go on.
-    Within,
-    /// The request may go on after this pause; it is charged already, so others queue behind it.
-    After(Duration),
-    /// The quota is used up; worth another try after this long.
-    Over {
+pub enum ChargeOutcome {
+    /// The request may proceed.
+    Accepted,
+    /// The request may proceed after this wait. It is charged already, so others queue behind it.
+    AcceptedAfter(Duration),
+    /// The quota is used up.
+    Rejected {
         /// Time until the charge would fit.
         retry_after: Duration,
-        /// Units that are left; below zero where charges of peers came in late.
-        left: i64,
+        /// Remaining units; below zero where charges of peers arrived late.
+        remaining: i64,
     },
 }
 
-/// Part of the burst that the new buckets of all instances that start at once hold together. An instance that
-/// restarts can't know that the others' buckets are empty; with a full one it would let a hot workspace in
-/// for a second's worth of tokens.
-const START_PART: f64 = 0.1;
-
-/// Least span over which the rate of peers is smoothed.
-const PEER_RATE_SPAN: Duration = Duration::from_millis(800);
-/// The same in mean ages of what peers told. In a large fleet words come further apart than the least
-/// span: the rate would be forgotten in between, and a hot workspace let in beyond its quota.
-const PEER_RATE_LAGS: u32 = 5;
-
-/// Spans of the bucket's refilling that a relay's count may grow by between two words; more can't have
-/// been spent, so the count is of something else.
-const PLAUSIBLE_SPAN: Duration = Duration::from_mins(1);
-
-/// Charges up to this part of the burst count as small.
-const SMALL_PART: f64 = 0.04;
-/// Part of the burst that large charges leave: a filing costs a fifth of a draft's tokens and would
+/// Fraction of the burst that the new buckets of all instances that start at the same time hold together. An
+/// instance that restarts can't know that the buckets of the others are empty; with a full one it would admit
+/// a second's worth of tokens to a workspace that is over its rate.
+const INITIAL_BURST_FRACTION: f64 = 0.1;
+
+/// Minimum window over which the peers' spending rate is smoothed.
+const MIN_PEER_RATE_WINDOW: Duration = Duration::from_millis(800);
+/// The smoothing window in multiples of the mean age of the peers' reports. In a large fleet the reports are
+/// further apart than the minimum window: the rate would decay to zero between them, and a workspace over its
+/// rate would exceed its quota.
+const PEER_RATE_STALENESS_FACTOR: u32 = 5;
+
+/// Refill time of the bucket that bounds a plausible increase of a relay's count between two reports. A
+/// larger increase can't have been spent, so the count refers to something else.
+const MAX_PLAUSIBLE_REFILL: Duration = Duration::from_mins(1);
+
+/// Charges up to this fraction of the burst count as small.
+const SMALL_CHARGE_FRACTION: f64 = 0.04;
+/// Fraction of the burst reserved for small charges: a filing costs a fifth of a draft's tokens and would
 /// find the bucket empty whenever drafts use it up.
-const KEPT_PART: f64 = 0.1;
+const RESERVED_FRACTION: f64 = 0.1;
 
-/// What a peer told of its spending.
+/// Spending of a peer.
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    /// The count that the next one is compared with, and the life that it is of.
-    base: Option<(Incarnation, Spent)>,
-    /// What it has spent since this process heard it first.
-    sum: i64,
+struct PeerCount {
+    /// The count that the next report is compared with, and the incarnation that it belongs to.
+    base: Option<(Incarnation, SpentUnits)>,
+    /// Units spent since this process first received a report of the peer.
+    spent: i64,
 }
 
-/// A relay's count of what all others have spent.
+/// A relay's count of what all other instances have spent.
 #[derive(Clone, Copy, Debug)]
-struct ToldSum {
-    relay: RelayLife,
+struct RelayCount {
+    relay: RelayIncarnation,
     count: i64,
 }
 
-/// A relay's short name and its life.
-pub type RelayLife = (ShortHash, u64);
+/// Short hash of a relay's name, and its incarnation.
+pub type RelayIncarnation = (ShortHash, u64);
 
 #[derive(Debug)]
 struct Bucket {
     quota: Quota,
     /// Short hash of the account's name.
-    short: ShortHash,
+    account_hash: ShortHash,
     level: f64,
-    at: Time,
-    own: Spent,
-    own_told: Spent,
-    own_changed: Time,
-    peers: HashMap<InstanceId, Told>,
-    /// What all peers have spent since this process heard them first, and when that last changed.
-    peers_sum: i64,
-    peers_changed: Time,
-    /// The last word of the relay that this instance asks.
-    told_sum: Option<ToldSum>,
-    /// What all peers spend in a second, smoothed.
+    refilled_at: Time,
+    local_spent: SpentUnits,
+    local_reported: SpentUnits,
+    local_changed_at: Time,
+    peers: HashMap<InstanceId, PeerCount>,
+    /// Units that all peers have spent since this process first received their reports, and when that last
+    /// changed.
+    peers_spent: i64,
+    peers_changed_at: Time,
+    /// The last count of the upstream relay.
+    relay_count: Option<RelayCount>,
+    /// Smoothed spending of all peers, in units per second.
     peer_rate: f64,
     peer_rate_at: Time,
-    /// Span over which it is smoothed, in seconds.
-    peer_rate_span: f64,
+    /// Smoothing window of `peer_rate`, in seconds.
+    peer_rate_window: f64,
 }
 
-/// Buckets of all accounts.
+/// Token buckets of all accounts.
 #[derive(Debug, Default)]
 pub struct Quotas {
     buckets: HashMap<Account, Bucket>,
 }
 
 #[expect(clippy::cast_precision_loss, reason = "charges stay far below 2^52")]
-fn number(units: u64) -> f64 {
+fn unsigned_to_f64(units: u64) -> f64 {
     units as f64
 }
 
 #[expect(clippy::cast_precision_loss, reason = "charges stay far below 2^52")]
-fn signed(units: i64) -> f64 {
+fn signed_to_f64(units: i64) -> f64 {
     units as f64
 }
 
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "a fraction of a token is nothing"
+    reason = "fractions of a token are negligible"
 )]
-fn whole(units: f64) -> i64 {
+fn truncate(units: f64) -> i64 {
     units as i64
 }
 
 impl Bucket {
-    fn new(account: &Account, quota: Quota, silent: f64, now: Time) -> Self {
+    fn new(account: &Account, quota: Quota, silent_fraction: f64, now: Time) -> Self {
         Self {
             quota,
-            short: account.short(),
-            level: number(quota.burst.0) * START_PART * (1.0 - silent),
-            at: now,
-            own: 0,
-            own_told: 0,
-            own_changed: now,
+            account_hash: account.short(),
+            level: unsigned_to_f64(quota.burst.0)
+                * INITIAL_BURST_FRACTION
+                * (1.0 - silent_fraction),
+            refilled_at: now,
+            local_spent: 0,
+            local_reported: 0,
+            local_changed_at: now,
             peers: HashMap::new(),
-            peers_sum: 0,
-            peers_changed: now,
-            told_sum: None,
+            peers_spent: 0,
+            peers_changed_at: now,
+            relay_count: None,
             peer_rate: 0.0,
             peer_rate_at: now,
-            peer_rate_span: PEER_RATE_SPAN.as_secs_f64(),
+            peer_rate_window: MIN_PEER_RATE_WINDOW.as_secs_f64(),
         }
     }
 
-    /// Peers told of `units` more. Their rate fades over its span.
-    fn peer_spent(&mut self, units: f64, now: Time) {
-        self.fade_peer_rate(now);
+    /// Records `units` spent by peers. The peers' rate decays over its window.
+    fn add_peer_spending(&mut self, units: f64, now: Time) {
+        self.decay_peer_rate(now);
         self.level -= units;
-        self.peer_rate += units / self.peer_rate_span;
+        self.peer_rate += units / self.peer_rate_window;
     }
 
-    fn fade_peer_rate(&mut self, now: Time) {
-        let passed = now.since(self.peer_rate_at).as_secs_f64();
-        self.peer_rate *= (-passed / self.peer_rate_span).exp();
+    fn decay_peer_rate(&mut self, now: Time) {
+        let elapsed = now.since(self.peer_rate_at).as_secs_f64();
+        self.peer_rate *= (-elapsed / self.peer_rate_window).exp();
         self.peer_rate_at = now;
     }
 
-    fn refill(&mut self, now: Time, silent_share: f64) {
-        let rate = number(self.quota.rate.0) * (1.0 - silent_share);
-        self.level += rate * now.since(self.at).as_secs_f64();
-        self.level = self.level.min(number(self.quota.burst.0));
-        self.at = now;
+    fn refill(&mut self, now: Time, silent_fraction: f64) {
+        let rate = unsigned_to_f64(self.quota.rate.0) * (1.0 - silent_fraction);
+        self.level += rate * now.since(self.refilled_at).as_secs_f64();
+        self.level = self.level.min(unsigned_to_f64(self.quota.burst.0));
+        self.refilled_at = now;
     }
 }
 
 impl Quotas {
-    /// Begins an account's bucket, if it has none: by the time callers come it is full, and what
-    /// peers spend meanwhile is counted. `silent` is the part of all instances that isn't heard.
-    pub fn prepare(&mut self, account: impl Into<Account>, quota: Quota, silent: f64, now: Time) {
+    /// Creates an account's bucket if it has none: it is full by the time callers arrive, and what peers
+    /// spend meanwhile is counted. `silent_fraction` is the fraction of all instances that is unresponsive.
+    pub fn prepare(
+        &mut self,
+        account: impl Into<Account>,
+        quota: Quota,
+        silent_fraction: f64,
+        now: Time,
+    ) {
         let account = account.into();
-        let new = Bucket::new(&account, quota, silent, now);
+        let new = Bucket::new(&account, quota, silent_fraction, now);
         self.buckets.entry(account).or_insert(new);
     }
 
-    /// Forgets an account.
+    /// Removes an account.
     pub fn close(&mut self, account: impl Into<Account>) {
         self.buckets.remove(&account.into());
     }
 
-    /// Charges `units` to an account. A request that would fit within `longest_pause` is let in after it.
+    /// Charges `units` to an account. A request that would fit within `max_wait` is accepted after that wait.
     pub fn charge(
         &mut self,
         account: impl Into<Account>,
         quota: Quota,
         units: u64,
-        sharing: Sharing,
-        longest_pause: Duration,
+        visibility: PeerVisibility,
+        max_wait: Duration,
         now: Time,
-    ) -> Charged {
-        let silent_share = sharing.silent;
+    ) -> ChargeOutcome {
+        let silent_fraction = visibility.silent_fraction;
         let account = account.into();
-        let new = || Bucket::new(&account, quota, silent_share, now);
+        let new = || Bucket::new(&account, quota, silent_fraction, now);
         let bucket = self.buckets.entry(account.clone()).or_insert_with(new);
-        bucket.refill(now, silent_share);
+        bucket.refill(now, silent_fraction);
         bucket.quota = quota;
-        bucket.level = bucket.level.min(number(quota.burst.0));
-        let burst = number(quota.burst.0);
-        let small = number(units) <= burst * SMALL_PART;
-        let kept = if small { 0.0 } else { burst * KEPT_PART };
-        let span = (sharing.lag * PEER_RATE_LAGS).max(PEER_RATE_SPAN);
-        bucket.peer_rate_span = span.as_secs_f64();
-        bucket.fade_peer_rate(now);
-        let untold = bucket.peer_rate * sharing.lag.as_secs_f64();
-        let level = bucket.level - untold;
-        let missing = (number(units) + kept).min(burst) - level;
-        let rate = number(quota.rate.0) * (1.0 - silent_share);
-        let pause = missing / rate.max(1.0);
-        if pause <= longest_pause.as_secs_f64() {
-            bucket.level -= number(units);
-            bucket.own += units;
-            bucket.own_changed = now;
+        bucket.level = bucket.level.min(unsigned_to_f64(quota.burst.0));
+        let burst = unsigned_to_f64(quota.burst.0);
+        let is_small = unsigned_to_f64(units) <= burst * SMALL_CHARGE_FRACTION;
+        let reserve = if is_small {
+            0.0
+        } else {
+            burst * RESERVED_FRACTION
+        };
+        let span = (visibility.staleness * PEER_RATE_STALENESS_FACTOR).max(MIN_PEER_RATE_WINDOW);
+        bucket.peer_rate_window = span.as_secs_f64();
+        bucket.decay_peer_rate(now);
+        let unreported = bucket.peer_rate * visibility.staleness.as_secs_f64();
+        let level = bucket.level - unreported;
+        let missing = (unsigned_to_f64(units) + reserve).min(burst) - level;
+        let rate = unsigned_to_f64(quota.rate.0) * (1.0 - silent_fraction);
+        let wait = missing / rate.max(1.0);
+        if wait <= max_wait.as_secs_f64() {
+            bucket.level -= unsigned_to_f64(units);
+            bucket.local_spent += units;
+            bucket.local_changed_at = now;
             return if missing <= 0.0 {
-                Charged::Within
+                ChargeOutcome::Accepted
             } else {
-                Charged::After(Duration::from_secs_f64(pause))
+                ChargeOutcome::AcceptedAfter(Duration::from_secs_f64(wait))
             };
         }
-        Charged::Over {
-            retry_after: Duration::from_secs_f64(pause.clamp(0.05, 30.0)),
-            left: whole(bucket.level),
+        ChargeOutcome::Rejected {
+            retry_after: Duration::from_secs_f64(wait.clamp(0.05, 30.0)),
+            remaining: truncate(bucket.level),
         }
     }
 
-    /// Gives back a charge of a request that did not run.
-    pub fn give_back(&mut self, account: impl Into<Account>, units: u64) {
+    /// Refunds a charge of a request that did not run.
+    pub fn refund(&mut self, account: impl Into<Account>, units: u64) {
         if let Some(bucket) = self.buckets.get_mut(&account.into()) {
-            bucket.level = (bucket.level + number(units)).min(number(bucket.quota.burst.0));
-            bucket.own = bucket.own.saturating_sub(units);
-            bucket.own_changed = bucket.at;
+            bucket.level =
+                (bucket.level + unsigned_to_f64(units)).min(unsigned_to_f64(bucket.quota.burst.0));
+            bucket.local_spent = bucket.local_spent.saturating_sub(units);
+            bucket.local_changed_at = bucket.refilled_at;
         }
     }
 
-    /// What is left of each workspace's quota as of its last charge, by name.
+    /// Returns the remaining quota of each workspace as of its last charge, sorted by name.
     #[must_use]
     pub fn dump(&self) -> Vec<QuotaDump> {
         let dumped = self.buckets.iter().filter_map(|(account, bucket)| {
@@ -263,7 +277,7 @@
             Some(QuotaDump {
                 workspace: name.clone(),
                 rate: bucket.quota.rate,
-                left: whole(bucket.level),
+                left: truncate(bucket.level),
             })
         });
         let mut dumped = dumped.collect::<Vec<_>>();
@@ -271,130 +285,154 @@
         dumped
     }
 
-    /// What this process has charged, for its peers, where it changed within `span`: long enough
-    /// that a lost datagram is made up for by the next ones.
-    pub fn tell_spent(&mut self, span: Duration, now: Time) -> Vec<SpentWord> {
+    /// Returns reports of this process's charges for its peers, for the accounts that changed within `span`.
+    /// A longer `span` makes up for lost datagrams, as later reports contain the same totals.
+    pub fn take_spend_reports(&mut self, span: Duration, now: Time) -> Vec<SpendReport> {
         let buckets = self.buckets.values_mut();
-        let lately = buckets.filter(|bucket| now.since(bucket.own_changed) < span);
-        let words = lately.map(|bucket| {
-            let told = std::mem::replace(&mut bucket.own_told, bucket.own);
-            SpentWord {
-                account: bucket.short,
-                total: bucket.own,
-                lately: bucket.own.saturating_sub(told),
+        let changed = buckets.filter(|bucket| now.since(bucket.local_changed_at) < span);
+        let reports = changed.map(|bucket| {
+            let reported = std::mem::replace(&mut bucket.local_reported, bucket.local_spent);
+            SpendReport {
+                account: bucket.account_hash,
+                total: bucket.local_spent,
+                recent: bucket.local_spent.saturating_sub(reported),
             }
         });
-        words.collect()
+        reports.collect()
     }
 
-    /// Takes in what `peer` has charged since it started, charges given back left out. Of the first
-    /// count of a peer's life only the latest part counts, unless it started `after` this process. While a relay's sums are counted, single
-    /// peers' spending doesn't count a second time.
-    pub fn heard(
+    /// Records what `peer` has charged since it started, refunds deducted. Of the first count of a peer's
+    /// incarnation only the recent part counts, unless the peer started later than this process
+    /// (`started_later`). While a relay's counts are in use (`changes_level` is false), reports of single
+    /// peers do not count a second time.
+    pub fn record_peer_spending(
         &mut self,
         peer: &InstanceId,
-        life: Incarnation,
-        word: SpentWord,
-        after: bool,
-        counts: bool,
+        incarnation: Incarnation,
+        report: SpendReport,
+        started_later: bool,
+        changes_level: bool,
         now: Time,
     ) {
-        let Some(bucket) = self.by_hash(word.account) else {
+        let Some(bucket) = self.by_hash(report.account) else {
             return;
         };
-        let told = bucket.peers.entry(peer.clone());
-        let told = told.or_insert(Told { base: None, sum: 0 });
-        let before = told.base.replace((life, word.total));
-        let before = before.filter(|(before, _)| *before == life);
-        let first = if after { word.total } else { word.lately };
-        let more = before.map_or(first.cast_signed(), |(_, before)| {
-            word.total.cast_signed().wrapping_sub(before.cast_signed())
+        let peer_count = bucket.peers.entry(peer.clone());
+        let peer_count = peer_count.or_insert(PeerCount {
+            base: None,
+            spent: 0,
+        });
+        let previous = peer_count.base.replace((incarnation, report.total));
+        let previous = previous.filter(|(previous, _)| *previous == incarnation);
+        let first = if started_later {
+            report.total
+        } else {
+            report.recent
+        };
+        let increase = previous.map_or(first.cast_signed(), |(_, previous)| {
+            report
+                .total
+                .cast_signed()
+                .wrapping_sub(previous.cast_signed())
         });
-        told.sum += more;
-        bucket.peers_sum += more;
-        bucket.peers_changed = now;
-        if counts {
-            bucket.peer_spent(signed(more), now);
+        peer_count.spent += increase;
+        bucket.peers_spent += increase;
+        bucket.peers_changed_at = now;
+        if changes_level {
+            bucket.add_peer_spending(signed_to_f64(increase), now);
         }
     }
 
     fn by_hash(&mut self, account: ShortHash) -> Option<&mut Bucket> {
         let mut buckets = self.buckets.values_mut();
-        buckets.find(|bucket| bucket.short == account)
+        buckets.find(|bucket| bucket.account_hash == account)
     }
 
-    /// What all but `peer` have charged since this process started, where that changed within
-    /// `span`; falls where charges were given back.
+    /// Returns what all instances but `peer` have charged since this process started, for the accounts that
+    /// changed within `span`. The count falls when charges are refunded.
     pub fn spent_by_others(
         &self,
         peer: &InstanceId,
         span: Duration,
         now: Time,
     ) -> impl Iterator<Item = (ShortHash, i64)> {
-        let changed =
-            move |bucket: &&Bucket| now.since(bucket.own_changed.max(bucket.peers_changed)) < span;
+        let changed = move |bucket: &&Bucket| {
+            now.since(bucket.local_changed_at.max(bucket.peers_changed_at)) < span
+        };
         self.buckets.values().filter(changed).map(|bucket| {
-            let theirs = bucket.peers.get(peer).map_or(0, |told| told.sum);
-            let all = bucket.own.cast_signed() + bucket.peers_sum;
-            (bucket.short, all - theirs)
+            let by_peer = bucket
+                .peers
+                .get(peer)
+                .map_or(0, |peer_count| peer_count.spent);
+            let all = bucket.local_spent.cast_signed() + bucket.peers_spent;
+            (bucket.account_hash, all - by_peer)
         })
     }
 
-    /// Takes in a relay's count of what all others have charged. The first count of a relay is where
-    /// counting begins.
-    pub fn heard_sum(&mut self, relay: RelayLife, account: ShortHash, count: i64, now: Time) {
+    /// Records a relay's count of what all other instances have charged. The first count of a relay is the
+    /// baseline.
+    pub fn record_relay_count(
+        &mut self,
+        relay: RelayIncarnation,
+        account: ShortHash,
+        count: i64,
+        now: Time,
+    ) {
         let Some(bucket) = self.by_hash(account) else {
             return;
         };
-        let before = bucket.told_sum.replace(ToldSum { relay, count });
-        let Some(before) = before.filter(|before| before.relay == relay) else {
+        let previous = bucket.relay_count.replace(RelayCount { relay, count });
+        let Some(previous) = previous.filter(|previous| previous.relay == relay) else {
             return;
         };
-        let more = signed(count.wrapping_sub(before.count));
+        let increase = signed_to_f64(count.wrapping_sub(previous.count));
         let quota = bucket.quota;
-        let most = number(quota.burst.0) + number(quota.rate.0) * PLAUSIBLE_SPAN.as_secs_f64();
-        if more.abs() <= most {
-            bucket.peer_spent(more, now);
+        let max_increase = unsigned_to_f64(quota.burst.0)
+            + unsigned_to_f64(quota.rate.0) * MAX_PLAUSIBLE_REFILL.as_secs_f64();
+        if increase.abs() <= max_increase {
+            bucket.add_peer_spending(increase, now);
         }
     }
 
-    /// What is left of each quota.
-    pub fn left(&self) -> impl Iterator<Item = (ShortHash, i64)> {
+    /// Returns the remaining units of each account.
+    pub fn remaining(&self) -> impl Iterator<Item = (ShortHash, i64)> {
         let buckets = self.buckets.values();
-        buckets.map(|bucket| (bucket.short, whole(bucket.level)))
+        buckets.map(|bucket| (bucket.account_hash, truncate(bucket.level)))
     }
 
-    /// A relay, which has heard the others longer, says what is left.
-    pub fn set_left(&mut self, account: ShortHash, left: i64) {
+    /// Sets the remaining units to those of a relay, which has received the other instances' reports for
+    /// longer.
+    pub fn set_remaining(&mut self, account: ShortHash, remaining: i64) {
         if let Some(bucket) = self.by_hash(account) {
-            bucket.level = signed(left).min(number(bucket.quota.burst.0));
+            bucket.level = signed_to_f64(remaining).min(unsigned_to_f64(bucket.quota.burst.0));
         }
     }
 
-    /// Nobody told what was spent in the last `span`: it is taken to have gone on as before.
-    pub fn missed(&mut self, span: Duration, now: Time) {
+    /// Assumes that peers went on spending at their recent rate during the last `span`, for which no reports
+    /// were received.
+    pub fn extrapolate(&mut self, span: Duration, now: Time) {
         for bucket in self.buckets.values_mut() {
-            bucket.fade_peer_rate(now - span);
+            bucket.decay_peer_rate(now - span);
             let units = bucket.peer_rate * span.as_secs_f64();
-            bucket.peer_spent(units, now);
+            bucket.add_peer_spending(units, now);
         }
     }
 
-    /// Of the next word of each peer only the latest part counts: the rest was heard by a relay's sums.
-    pub fn forget_peers(&mut self) {
-        for told in self
+    /// Makes the next report of each peer count its recent part only: the rest was counted by a relay's sums.
+    pub fn reset_peer_baselines(&mut self) {
+        for peer_count in self
             .buckets
             .values_mut()
             .flat_map(|bucket| bucket.peers.values_mut())
         {
-            told.base = None;
+            peer_count.base = None;
         }
     }
 
-    /// The next count of a relay is where counting begins: the rest was heard peer by peer.
-    pub fn forget_sums(&mut self) {
+    /// Makes the next count of a relay the new baseline: the rest was counted from reports of single peers.
+    pub fn reset_relay_baseline(&mut self) {
         for bucket in self.buckets.values_mut() {
-            bucket.told_sum = None;
+            bucket.relay_count = None;
         }
     }
 }
--- a/crates/gateway/src/decide/refusal.rs
+++ b/crates/gateway/src/decide/refusal.rs
@@ -1,15 +1,15 @@
-//! Why a request is not served.
+//! Reasons for which a request is refused.
 
 use std::time::Duration;
 
 use bluebellstage_core::{Rate, WorkspaceId};
 
-/// Why a request is not served.
+/// Reason for which a request is refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// No configuration is known yet.
+    /// The instance has no configuration yet.
     NotConfigured,
-    /// The instance stops and may not finish what comes now.
+    /// The instance is stopping and may not be able to finish new requests.
     Stopping,
     /// No route matches.
     NoRoute,
@@ -17,25 +17,25 @@
     UnknownKey,
     /// The workspace's quota is used up.
     OverQuota {
-        /// Who has used it up.
+        /// Workspace that used up its quota.
         workspace: WorkspaceId,
-        /// Time until it would fit.
+        /// Time until the request would fit.
         retry_after: Duration,
-        /// Units that are left.
-        left: i64,
-        /// Units that the request counts as.
+        /// Remaining units.
+        remaining: i64,
+        /// Units that the request is charged.
         charge: u64,
-        /// Units a second that the workspace has.
+        /// The workspace's rate in units per second.
         rate: Rate,
     },
-    /// All targets that could run it are full or fail.
+    /// All targets that could run the request are full or failing.
     Full,
     /// No target of the service is known.
     NoTarget,
 }
 
 impl Refusal {
-    /// A short name, for metrics and the log.
+    /// Returns the short name for metrics and the log.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
@@ -49,13 +49,13 @@
         }
     }
 
-    /// What decided it, by name, for the log.
+    /// Returns the values that the refusal is based on, by log key.
     #[must_use]
     pub fn inputs(&self) -> Vec<(&'static str, String)> {
         let Self::OverQuota {
             workspace,
             retry_after,
-            left,
+            remaining,
             charge,
             rate,
         } = self
@@ -65,7 +65,7 @@
         vec![
             ("workspace", workspace.to_string()),
             ("charge", charge.to_string()),
-            ("left", left.to_string()),
+            ("left", remaining.to_string()),
             ("rate", rate.0.to_string()),
             ("retry_after_ms", retry_after.as_millis().to_string()),
         ]
--- a/crates/gateway/src/decide/reload.rs
+++ b/crates/gateway/src/decide/reload.rs
@@ -1,28 +1,28 @@
-//! What becomes of settings that changed while the process runs.
+//! Reloading of settings while the process runs.
 
 use crate::settings::{NodeSettings, Terms};
 
-/// What to do about settings that were read again.
+/// Result of comparing reloaded settings with the running ones.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reload {
-    /// They say what they said.
+    /// The settings are the same.
     Unchanged,
-    /// Something changed.
+    /// Some settings changed.
     Changed {
-        /// Terms to take over now, if any of them differs.
+        /// Terms to apply now, if any of them changed.
         terms: Option<Terms>,
-        /// Keys that differ and are used at the start alone; they wait for a restart.
+        /// Changed keys that are read only at startup; they take effect after a restart.
         at_restart: Vec<&'static str>,
     },
 }
 
-/// Compares the settings of the running process with those that were `read` just now.
+/// Compares the settings of the running process with those that were just `read`.
 ///
-/// Addresses and the name identify the process to its peers and callers, so they stay until it ends.
+/// Addresses and the name identify the process to its peers and callers, so they stay the same until it ends.
 #[must_use]
 pub fn compare(running: &NodeSettings, terms: &Terms, read: NodeSettings) -> Reload {
     let mut member = read.member;
-    // Each reading makes up a new life; the process goes on with its own.
+    // Each reading creates a new incarnation; the process keeps its own.
     member.incarnation = running.member.incarnation;
     let differing = [
         ("member", member != running.member),
--- a/crates/gateway/src/decide/routes.rs
+++ b/crates/gateway/src/decide/routes.rs
@@ -8,7 +8,7 @@
 use super::call::Call;
 use super::config::{Config, Route, Workspace};
 
-/// A configuration with its lookups.
+/// A configuration with its lookup tables.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     config: Arc<Config>,
@@ -16,14 +16,15 @@
     by_key: HashMap<Box<str>, usize>,
 }
 
-/// Where a request may go.
+/// Result of a route lookup.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Routed {
-    /// To a service, on behalf of a workspace.
+    /// A route matches, and the key is accepted if the route needs one.
     To {
         /// Index of the route in the configuration.
         route: usize,
-        /// Index of the workspace; none on public routes and where keys aren't used.
+        /// Index of the workspace; `None` if the route is public and no known key was sent, or if keys aren't
+        /// used.
         workspace: Option<usize>,
     },
     /// No route matches.
@@ -33,7 +34,7 @@
 }
 
 impl RouteTable {
-    /// Lookups for `config`.
+    /// Builds the lookup tables for `config`.
     #[must_use]
     pub fn new(config: Arc<Config>) -> Self {
         let mut by_host = HashMap::<Box<str>, Vec<usize>>::new();
@@ -54,23 +55,23 @@
         }
     }
 
-    /// The configuration itself.
+    /// Returns the configuration.
     #[must_use]
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
 
-    /// Version of the configuration; zero before the first.
+    /// Returns the version of the configuration; zero before the first one.
     #[must_use]
     pub fn version(&self) -> Revision {
         self.config.version
     }
 
-    /// Where `call` may go. The route is looked up first: an unknown path is an unknown path,
-    /// whatever the key.
+    /// Looks up the route and the workspace of `call`. The route is checked before the key: an unknown path
+    /// is reported as such whatever the key.
     #[must_use]
     pub fn find(&self, call: &Call) -> Routed {
-        let Some(route) = self.route_of(call) else {
+        let Some(route) = self.route_index(call) else {
             return Routed::NoRoute;
         };
         if self.config.workspaces.is_empty() {
@@ -89,25 +90,25 @@
         }
     }
 
-    fn route_of(&self, call: &Call) -> Option<usize> {
+    fn route_index(&self, call: &Call) -> Option<usize> {
         let routes = self.by_host.get(&call.host)?;
         let matches = |idx: &&usize| call.path.starts_with(&*self.config.routes[**idx].prefix);
         routes.iter().find(matches).copied()
     }
 
-    /// The route at an index that [`Self::find`] gave.
+    /// Returns the route at an index from [`Self::find`].
     #[must_use]
     pub fn route(&self, idx: usize) -> &Route {
         &self.config.routes[idx]
     }
 
-    /// The workspace at an index that [`Self::find`] gave.
+    /// Returns the workspace at an index from [`Self::find`].
     #[must_use]
     pub fn workspace(&self, idx: usize) -> &Workspace {
         &self.config.workspaces[idx]
     }
 
-    /// Name of the workspace that holds `key`.
+    /// Returns the name of the workspace that `key` belongs to.
     #[must_use]
     pub fn workspace_of(&self, key: &str) -> Option<&WorkspaceId> {
         let idx = self.by_key.get(key)?;
@@ -115,7 +116,7 @@
     }
 }
 
-/// The service that `draw`, evenly spread over all numbers, picks from a route's weights.
+/// Returns the service that `draw`, a uniformly distributed random number, selects by the route's weights.
 #[must_use]
 pub fn pick_service(route: &Route, draw: u64) -> Option<&ServiceId> {
     let total = route
@@ -123,10 +124,10 @@
         .iter()
         .map(|(_, weight)| u64::from(*weight))
         .sum::<u64>();
-    let mut left = draw.checked_rem(total)?;
+    let mut remaining = draw.checked_rem(total)?;
     for (service, weight) in &route.split {
-        match left.checked_sub(u64::from(*weight)) {
-            Some(rest) => left = rest,
+        match remaining.checked_sub(u64::from(*weight)) {
+            Some(rest) => remaining = rest,
             None => return Some(service),
         }
     }
--- a/crates/gateway/src/decide/status.rs
+++ b/crates/gateway/src/decide/status.rs
@@ -5,7 +5,7 @@
 
 use super::loader::Places;
 use super::peers::Load;
-use super::quota::SpentWord;
+use super::quota::SpendReport;
 use super::rendezvous::ShortHash;
 
 /// What an instance does for the news of others.
@@ -72,7 +72,7 @@
     /// Digest of the verdicts on requests that it knows; zero if there is none.
     pub verdicts_digest: u64,
     /// What workspaces have spent there since it started, where that changed lately.
-    pub spent: Vec<SpentWord>,
+    pub spent: Vec<SpendReport>,
     /// What it has at each target.
     pub in_flight: Vec<(ShortHash, Load)>,
     /// Loads from the weight store that it has under way.
--- a/crates/gateway/src/decide/stopping.rs
+++ b/crates/gateway/src/decide/stopping.rs
@@ -1,20 +1,20 @@
-//! How long an instance that was told to stop goes on taking requests.
+//! How long an instance accepts requests after it was told to stop.
 
 use std::time::Duration;
 
-/// Some callers keep a list of addresses three times as long as they are told.
-const KEPT_TIMES: u32 = 3;
-/// How much sooner requests are refused. The signal is noticed late on a machine that is short of
-/// processor time, and a request taken more than three times the keeping time after it must be
-/// finished, which it may not be when the process ends.
-const SOONER: Duration = Duration::from_millis(100);
-/// Least time for requests that were taken, before the process has to end.
-const LEAST_TO_FINISH: Duration = Duration::from_secs(1);
+/// Some callers keep a list of addresses for three times as long as its TTL.
+const ADDRESS_TTL_FACTOR: u32 = 3;
+/// How much earlier requests are refused. On a machine that is short of processor time the signal is noticed
+/// late, and a request accepted more than three times the TTL after the signal may not be finished when the
+/// process ends.
+const REFUSAL_MARGIN: Duration = Duration::from_millis(100);
+/// Minimum time to finish accepted requests before the process has to end.
+const MIN_TIME_TO_FINISH: Duration = Duration::from_secs(1);
 
-/// Time after the signal from which requests are refused as not run. Callers `keep` addresses for so
-/// long, and the process ends `until` after the signal at the latest.
+/// Returns the time after the stop signal from which requests are refused as not run. Callers keep addresses
+/// for `address_ttl`, and the process ends `exit_deadline` after the signal at the latest.
 #[must_use]
-pub fn refuse_after(keep: Duration, until: Duration) -> Duration {
-    let kept = (keep * KEPT_TIMES).saturating_sub(SOONER);
-    kept.min(until.saturating_sub(LEAST_TO_FINISH))
+pub fn refuse_after(address_ttl: Duration, exit_deadline: Duration) -> Duration {
+    let refusal_delay = (address_ttl * ADDRESS_TTL_FACTOR).saturating_sub(REFUSAL_MARGIN);
+    refusal_delay.min(exit_deadline.saturating_sub(MIN_TIME_TO_FINISH))
 }
--- a/crates/gateway/src/decide/tables.rs
+++ b/crates/gateway/src/decide/tables.rs
@@ -18,7 +18,7 @@
 use super::picking::ASKED_LASTS;
 use super::prompt_queues::{PromptQueues, WaitingKey};
 use super::quarantine::Quarantine;
-use super::quota::{Charged, Quotas, Sharing};
+use super::quota::{ChargeOutcome, PeerVisibility, Quotas};
 pub use super::refusal::Refusal;
 use super::registry::Registry;
 use super::rendezvous::{ShortHash, name_hash};
@@ -211,28 +211,31 @@
             && let Some(quota) = workspace.quota
         {
             charge = quota.unit.charge(call.tokens);
-            let sharing = Sharing {
-                silent: self.unheard_share(now),
-                lag: self.news_age(now),
+            let sharing = PeerVisibility {
+                silent_fraction: self.unheard_share(now),
+                staleness: self.news_age(now),
             };
             let longest_pause = routes.route(route).target_latency.mul_f64(QUOTA_PAUSE_PART);
             let name = &workspace.name;
             let quotas = &mut self.quotas;
             match quotas.charge(name, quota, charge, sharing, longest_pause, now) {
-                Charged::Within => {}
-                Charged::After(wait) => pause = wait,
-                Charged::Over { retry_after, left } => {
+                ChargeOutcome::Accepted => {}
+                ChargeOutcome::AcceptedAfter(wait) => pause = wait,
+                ChargeOutcome::Rejected {
+                    retry_after,
+                    remaining,
+                } => {
                     return Err(Refusal::OverQuota {
                         workspace: name.clone(),
                         retry_after: retry_after.min(LONGEST_RETRY_AFTER),
-                        left,
+                        remaining,
                         charge,
                         rate: quota.rate,
                     });
                 }
             }
         }
-        self.retries.request(service, now);
+        self.retries.record_request(service, now);
         let rank = workspace.and_then(|workspace| workspace.rank);
         Ok(Ticket {
             service: service.clone(),
@@ -248,7 +251,7 @@
     /// Gives back what a request was charged that did not run.
     pub fn not_run(&mut self, ticket: &Ticket) {
         if let Some(workspace) = &ticket.workspace {
-            self.quotas.give_back(workspace, ticket.charge);
+            self.quotas.refund(workspace, ticket.charge);
         }
     }
 
@@ -267,7 +270,7 @@
     /// Takes one repeat out of the service's budget; false if there is none left.
     pub fn take_retry(&mut self, service: &ServiceId, now: Time) -> bool {
         let sharing = self.peers.sharing(now);
-        self.retries.take(service, self.budget, sharing, now)
+        self.retries.take_retry(service, self.budget, sharing, now)
     }
 
     /// Requests of this instance at a target.
@@ -291,7 +294,7 @@
     pub fn sent_prompt(&mut self, target: &TargetId, call: &Call, now: Time) -> WaitingKey {
         let others = self.peers.load(ShortHash::of(target.as_str())).prompts;
         self.queues
-            .sent(target, call.prompt.0, u64::from(others), now)
+            .sent(target, call.prompt_tokens.0, u64::from(others), now)
     }
 
     /// A request goes to a target.
@@ -332,7 +335,10 @@
         self.retries.prune(self.budget.window, now);
         let registry = &self.registry;
         self.health.keep(|target| registry.get(target).is_some());
-        for target in self.limits.forget(|target| registry.get(target).is_none()) {
+        for target in self
+            .limits
+            .remove_gone(|target| registry.get(target).is_none())
+        {
             self.quotas.close(&target);
         }
         self.residency.keep(|target| registry.get(target).is_some());
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -11,13 +11,13 @@
 use http::{HeaderMap, Request, StatusCode, request, response};
 
 use crate::decide::adapter::AdapterAt;
-use crate::decide::call::{AnswerHead, Call, Forward};
+use crate::decide::call::{Call, Forward, ResponseHead};
 use crate::decide::config::Config;
 pub use crate::decide::kind::Kind;
 use crate::decide::lease::LeaseRecord;
 use crate::decide::loader::{Order, OrderAnswer, Report};
 use crate::decide::peers::Member;
-use crate::decide::quarantine::Verdict;
+use crate::decide::quarantine::QuarantineDecision;
 use crate::decide::target::Target;
 use crate::error::{GatewayError, StoreError};
 use crate::settings::NodeSettings;
@@ -50,7 +50,7 @@
     fn forward_headers(&self, head: &request::Parts, forward: &Forward<'_>) -> HeaderMap;
 
     /// Decodes the head of a target's answer.
-    fn answer_head(&self, head: &response::Parts) -> AnswerHead;
+    fn answer_head(&self, head: &response::Parts) -> ResponseHead;
 
     /// Headers of a target's answer that go on to the caller.
     fn answer_headers(&self, head: &response::Parts) -> HeaderMap;
@@ -110,7 +110,7 @@
     /// A lease.
     Lease(LeaseRecord),
     /// A verdict on a request.
-    Verdict(Verdict),
+    Verdict(QuarantineDecision),
     /// Written by somebody else, or wrongly: why it names nothing.
     Malformed(Box<str>),
 }
--- a/crates/gateway/src/net/attempt.rs
+++ b/crates/gateway/src/net/attempt.rs
@@ -10,9 +10,9 @@
 use hyper::body::Incoming;
 
 use crate::decide::adapter::AdapterKey;
-use crate::decide::call::{AnswerHead, Call, Forward};
+use crate::decide::call::{Call, Forward, ResponseHead};
 use crate::decide::health::Met;
-use crate::decide::limits::{Change, Said};
+use crate::decide::limits::{Change, ReportedLimit};
 use crate::decide::prompt_queues::WaitingKey;
 use crate::decide::tables::Tables;
 use crate::edge::{Edge, Protocol};
@@ -161,7 +161,7 @@
 #[derive(Debug)]
 pub(super) struct Answer<E: Edge> {
     pub(super) parts: response::Parts,
-    pub(super) head: AnswerHead,
+    pub(super) head: ResponseHead,
     pub(super) body: Incoming,
     pub(super) flight: Flight<E>,
     connection: Connection,
@@ -258,7 +258,7 @@
         Exchange::Answer(parts, body, connection) => {
             let head = node.protocol.answer_head(&parts);
             // A refusal may lack what an answer says.
-            if !(head.not_run && head.limit == Said::Unlimited) {
+            if !(head.not_run && head.limit == ReportedLimit::Unlimited) {
                 note_limit(node, target, head.limit, flight.sent);
             }
             judge_head(sending, *parts, head, body, flight, connection)
@@ -278,21 +278,21 @@
 }
 
 /// Takes in what the answer to a request that was `sent` then says of its target's limit.
-fn note_limit<E: Edge>(node: &Node<E>, target: &TargetId, said: Said, sent: Time) {
+fn note_limit<E: Edge>(node: &Node<E>, target: &TargetId, said: ReportedLimit, sent: Time) {
     let now = node.now();
     let change = node.tables().answer_said(target, said, sent, now);
     let id = target.to_string();
-    if said == Said::Malformed {
+    if said == ReportedLimit::Malformed {
         event(LogEvent::LimitMalformed, &[("target", &id)]);
     }
     match change {
-        Change::Same => {}
+        Change::Unchanged => {}
         Change::Limited(rate) => {
             let rate = rate.to_string();
             let fields = [("target", &*id), ("rate", &*rate)];
             event(LogEvent::TargetLimited, &fields);
         }
-        Change::Over => event(LogEvent::TargetUnlimited, &[("target", &id)]),
+        Change::Lifted => event(LogEvent::TargetUnlimited, &[("target", &id)]),
     }
 }
 
@@ -320,7 +320,7 @@
 fn judge_head<E: Edge>(
     sending: Sending<'_>,
     parts: response::Parts,
-    head: AnswerHead,
+    head: ResponseHead,
     body: Incoming,
     mut flight: Flight<E>,
     connection: Connection,
@@ -464,7 +464,7 @@
 /// The rest of a streamed answer.
 #[derive(Debug)]
 pub(super) struct Source<E: Edge> {
-    head: AnswerHead,
+    head: ResponseHead,
     pub(super) body: Incoming,
     pub(super) flight: Flight<E>,
     connection: Connection,
@@ -477,9 +477,9 @@
     }
 }
 
-fn keep<E: Edge>(flight: &Flight<E>, head: &AnswerHead, connection: Connection) {
-    if !head.closes {
+fn keep<E: Edge>(flight: &Flight<E>, head: &ResponseHead, connection: Connection) {
+    if !head.closes_connection {
         let pool = &flight.node.pool;
-        pool.put(&flight.target, connection, head.idle_limit);
+        pool.put(&flight.target, connection, head.idle_timeout);
     }
 }
--- a/crates/gateway/src/net/control.rs
+++ b/crates/gateway/src/net/control.rs
@@ -12,7 +12,7 @@
 
 use crate::decide::config::Config;
 use crate::decide::peers::Member;
-use crate::decide::quarantine::{AgedVerdict, Fingerprint};
+use crate::decide::quarantine::{AgedDecision, Fingerprint};
 use crate::decide::registry::RegistryCopy;
 use crate::decide::tables::Tables;
 use crate::decide::versions::Announcement;
@@ -91,7 +91,7 @@
     pub(super) config: Option<Config>,
     pub(super) targets: Option<RegistryCopy>,
     pub(super) versions: Vec<Announcement>,
-    pub(super) verdicts: Vec<AgedVerdict>,
+    pub(super) verdicts: Vec<AgedDecision>,
     pub(super) members: Vec<Member>,
 }
 
@@ -178,7 +178,7 @@
         copy.versions = tables.versions.all(now).collect();
     }
     if tables.quarantine.digest() != have.verdicts_digest {
-        copy.verdicts = tables.quarantine.verdicts(now).collect();
+        copy.verdicts = tables.quarantine.decisions(now).collect();
     }
     if !have.members {
         let peers = tables.peers.all().map(|peer| peer.member.clone());
--- a/crates/gateway/src/net/copying.rs
+++ b/crates/gateway/src/net/copying.rs
@@ -8,7 +8,7 @@
 use http::{Request, header};
 use rand::seq::SliceRandom;
 
-use crate::decide::quarantine::AgedVerdict;
+use crate::decide::quarantine::AgedDecision;
 use crate::decide::tables::Tables;
 use crate::edge::Edge;
 use crate::error::GatewayError;
@@ -135,8 +135,8 @@
         announce(node, &news.adapter, news.age, &peer.to_string());
     }
     let mut tables = node.tables();
-    for AgedVerdict { verdict, age } in copy.verdicts {
-        tables.quarantine.adopt(verdict, age, now);
+    for AgedDecision { decision, age } in copy.verdicts {
+        tables.quarantine.adopt(decision, age, now);
     }
     for member in copy.members {
         if member.name != tables.me.name {
--- a/crates/gateway/src/net/ended.rs
+++ b/crates/gateway/src/net/ended.rs
@@ -12,7 +12,7 @@
 use bluebellstage_core::{TargetId, Time};
 use tokio::sync::watch;
 
-use crate::decide::quarantine::{CutRun, Ended, JUDGED_AFTER};
+use crate::decide::quarantine::{Crash, EVALUATION_DELAY, InterruptedRun};
 use crate::decide::rendezvous::ShortHash;
 use crate::decide::target::Target;
 use crate::edge::Edge;
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 struct Look {
     began: Time,
-    cuts: Vec<CutRun>,
+    cuts: Vec<InterruptedRun>,
     found: watch::Sender<Found>,
 }
 
@@ -65,7 +65,7 @@
     }
 
     /// Runs that were not told yet, and when the first one was cut.
-    fn take_cuts(&self, life: ShortHash) -> Option<(Vec<CutRun>, Time)> {
+    fn take_cuts(&self, life: ShortHash) -> Option<(Vec<InterruptedRun>, Time)> {
         let mut open = self.lock();
         let look = open.get_mut(&life)?;
         Some((std::mem::take(&mut look.cuts), look.began))
@@ -103,7 +103,7 @@
 fn serving<E: Edge>(node: &Node<E>, id: &TargetId) -> Option<Serving> {
     let tables = node.tables();
     let target = tables.registry.get(id).filter(|target| !target.leaving)?;
-    let lives = |other: &&Target| !tables.quarantine.has_ended(life(other));
+    let lives = |other: &&Target| !tables.quarantine.has_crashed(life(other));
     let others = tables.registry.all().filter(|other| other.id != *id);
     let others = others.filter(|other| other.service == target.service);
     let living = 1 + others.filter(lives).count();
@@ -122,7 +122,7 @@
 }
 
 /// A run was cut; returns when it is known, or can't soon be known, whether its target ended.
-pub(super) async fn cut<E: Edge>(node: &Arc<Node<E>>, target: &TargetId, cut: CutRun) {
+pub(super) async fn cut<E: Edge>(node: &Arc<Node<E>>, target: &TargetId, cut: InterruptedRun) {
     let Some(target) = serving(node, target) else {
         return;
     };
@@ -133,7 +133,7 @@
     // A first end is no proof, so whoever has met no other need not wait for the judgement.
     let waits = |found: &Found| match found {
         Found::Looking => true,
-        Found::Ended => node.tables().quarantine.suspicion(cut.request) > 1,
+        Found::Ended => node.tables().quarantine.crash_count(cut.request) > 1,
         Found::Judged | Found::Lives => false,
     };
     let known = found.wait_for(|found| !waits(found));
@@ -141,7 +141,11 @@
 }
 
 /// Adds a run to those of a target's look, which begins with the first one.
-fn join<E: Edge>(node: &Arc<Node<E>>, target: &Serving, cut: CutRun) -> watch::Receiver<Found> {
+fn join<E: Edge>(
+    node: &Arc<Node<E>>,
+    target: &Serving,
+    cut: InterruptedRun,
+) -> watch::Receiver<Found> {
     let mut open = node.looks.lock();
     let began = node.now();
     let looked_at = open.entry(target.life).or_insert_with(|| {
@@ -165,7 +169,7 @@
     tokio::time::sleep(GATHER).await;
     let mut cuts = report(&node, &target);
     node.looks.settle(target.life, Found::Ended);
-    tokio::time::sleep(JUDGED_AFTER).await;
+    tokio::time::sleep(EVALUATION_DELAY).await;
     cuts.extend(report(&node, &target));
     let requests = cuts.iter().map(|cut| cut.request).collect::<Vec<_>>();
     quarantine::judge(&node, &target.id, &requests);
@@ -178,13 +182,13 @@
 }
 
 /// Tells which runs the target took with it, those told before left out.
-fn report<E: Edge>(node: &Node<E>, target: &Serving) -> Vec<CutRun> {
+fn report<E: Edge>(node: &Node<E>, target: &Serving) -> Vec<InterruptedRun> {
     let taken = node.looks.take_cuts(target.life);
     let Some((cuts, at)) = taken.filter(|(cuts, _)| !cuts.is_empty()) else {
         return Vec::new();
     };
     let named = cuts.iter().take(NAMED_IN_A_LINE);
-    let named = named.map(|cut| format!("{}:{}", cut.request, cut.ran_ms));
+    let named = named.map(|cut| format!("{}:{}", cut.request, cut.run_ms));
     let requests = named.collect::<Vec<_>>().join(" ");
     let [id, count] = [target.id.to_string(), cuts.len().to_string()];
     event(
@@ -192,7 +196,7 @@
         &[("target", &id), ("cut", &count), ("requests", &requests)],
     );
     let age = node.now().since(at);
-    let ended = Ended::new(target.life, target.living, age, cuts);
+    let ended = Crash::new(target.life, target.living, age, cuts);
     quarantine::ended(node, &ended);
-    ended.cuts
+    ended.interrupted
 }
--- a/crates/gateway/src/net/front.rs
+++ b/crates/gateway/src/net/front.rs
@@ -14,7 +14,7 @@
 use crate::decide::config::RouteKind;
 use crate::decide::load_wait::{ASK_AGAIN, LoadWait, load_wait};
 use crate::decide::placement::Pick;
-use crate::decide::quarantine::{CutRun, Fingerprint};
+use crate::decide::quarantine::{Fingerprint, InterruptedRun};
 use crate::decide::tables::{Refusal, Tables, Ticket};
 use crate::edge::{Edge, Protocol};
 use crate::packet::{Wish, WishKind};
@@ -203,7 +203,7 @@
     /// Time left for the caller.
     pub(super) fn left(&self) -> Duration {
         let route = self.ticket.route().timeout;
-        let limit = self.call.patience.map_or(route, |own| own.min(route));
+        let limit = self.call.timeout.map_or(route, |own| own.min(route));
         let passed = self.node.now().since(self.arrived);
         limit.saturating_sub(passed + ANSWER_MARGIN)
     }
@@ -219,7 +219,7 @@
             }
             let now = self.node.now();
             let draw = rand::rng().random_range(0.0..1.0);
-            if self.node.tables().quarantine.refuses(self.fingerprint) {
+            if self.node.tables().quarantine.is_refused(self.fingerprint) {
                 return Found::Quarantined;
             }
             match self.pick(draw, now) {
@@ -270,7 +270,7 @@
         let crowded = self.node.tables().loads_crowded(&self.ticket, now);
         load_wait(
             now.since(began),
-            self.call.patience.unwrap_or(route.timeout),
+            self.call.timeout.unwrap_or(route.timeout),
             route.target_latency,
             crowded,
         )
@@ -350,7 +350,7 @@
             target: target.as_str(),
             workspace: self.ticket.workspace.as_ref(),
             adapter_version: version.map(|version| version.0),
-            urgency: self.call.wanted.is_some().then(|| self.ticket.rank.min(9)),
+            priority: self.call.wanted.is_some().then(|| self.ticket.rank.min(9)),
             resume_after: self.call.resume_after,
         };
         let sending = Sending {
@@ -359,7 +359,7 @@
             call: &self.call,
             reuse: kind != RouteKind::Unsafe,
             trial,
-            suspect: self.node.tables().quarantine.suspicion(self.fingerprint) > 0,
+            suspect: self.node.tables().quarantine.crash_count(self.fingerprint) > 0,
             version,
             patience: self.patience(),
         };
@@ -409,7 +409,7 @@
         if short.failure != Failure::Broken {
             return;
         }
-        let run = CutRun::new(self.fingerprint, short.ran);
+        let run = InterruptedRun::new(self.fingerprint, short.ran);
         cut(&self.node, target, run).await;
     }
 
--- a/crates/gateway/src/net/metrics.rs
+++ b/crates/gateway/src/net/metrics.rs
@@ -201,7 +201,8 @@
         self.record_store_waits(tables, now);
         let refused = tables.quarantine.refused(now).count();
         self.quarantine.record(count(refused), &[]);
-        self.limited.record(count(tables.limits.all().count()), &[]);
+        self.limited
+            .record(count(tables.limits.iter().count()), &[]);
         self.targets
             .record(count(tables.registry.all().count()), &[]);
         self.peers
--- a/crates/gateway/src/net/quarantine.rs
+++ b/crates/gateway/src/net/quarantine.rs
@@ -5,7 +5,7 @@
 
 use bluebellstage_core::{TargetId, Time};
 
-use crate::decide::quarantine::{Ended, Fingerprint, Verdict, Word};
+use crate::decide::quarantine::{Crash, Fingerprint, QuarantineDecision, QuarantineMessage};
 use crate::edge::{Content, Edge, Kind, ObjectStore};
 use crate::error::StoreError;
 use crate::packet::Packet;
@@ -19,16 +19,16 @@
 const STORE_PAUSE: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(2)];
 
 /// A target ended under requests of this instance.
-pub(super) fn ended<E: Edge>(node: &Node<E>, ended: &Ended) {
+pub(super) fn ended<E: Edge>(node: &Node<E>, ended: &Crash) {
     let now = node.now();
-    let words = node.tables().quarantine.ended(ended, now);
+    let words = node.tables().quarantine.record_crash(ended, now);
     tell(node, words);
 }
 
 /// Judges requests of this instance that were on a target when it ended.
 pub(super) fn judge<E: Edge>(node: &Arc<Node<E>>, target: &TargetId, requests: &[Fingerprint]) {
     let now = node.now();
-    let refused = node.tables().quarantine.judge(requests, now);
+    let refused = node.tables().quarantine.evaluate(requests, now);
     for verdict in &refused {
         node.metrics.request_quarantined();
         let [request, target] = [verdict.request.to_string(), target.to_string()];
@@ -36,13 +36,19 @@
         event(LogEvent::RequestQuarantined, &fields);
         tokio::spawn(keep(Arc::clone(node), *verdict));
     }
-    tell(node, refused.into_iter().map(Word::Decided).collect());
+    tell(
+        node,
+        refused
+            .into_iter()
+            .map(QuarantineMessage::Decided)
+            .collect(),
+    );
 }
 
 /// A request was answered whole.
 pub(super) fn served<E: Edge>(node: &Node<E>, request: Fingerprint) {
     let now = node.now();
-    let word = node.tables().quarantine.served(request, now);
+    let word = node.tables().quarantine.record_served(request, now);
     if let Some(word) = word {
         tell(node, vec![word]);
     }
@@ -56,51 +62,51 @@
     };
     let name = request.to_string();
     event(LogEvent::QuarantineCleared, &[("fingerprint", &name)]);
-    tell(node, vec![Word::Decided(verdict)]);
+    tell(node, vec![QuarantineMessage::Decided(verdict)]);
     tokio::spawn(keep(Arc::clone(node), verdict));
     true
 }
 
 /// Tells all others at once, and again with the next rounds.
-fn tell<E: Edge>(node: &Node<E>, words: Vec<Word>) {
+fn tell<E: Edge>(node: &Node<E>, words: Vec<QuarantineMessage>) {
     if words.is_empty() {
         return;
     }
     send(node, &Receiver::Fleet, words.clone());
-    node.tables().quarantine.tell_again(words);
+    node.tables().quarantine.queue_resend(words);
 }
 
 /// Sends words in as few datagrams as hold them.
-fn send<E: Edge>(node: &Node<E>, to: &Receiver, words: Vec<Word>) {
-    for batch in batches(words, Word::estimated_bytes) {
+fn send<E: Edge>(node: &Node<E>, to: &Receiver, words: Vec<QuarantineMessage>) {
+    for batch in batches(words, QuarantineMessage::estimated_bytes) {
         node.send(to.clone(), Packet::Quarantine(batch));
     }
 }
 
 /// Tells again what was told lately, `passed` after the round before.
 pub(super) fn tell_again<E: Edge>(node: &Node<E>, passed: Duration) {
-    let words = node.tables().quarantine.tell_round(passed);
+    let words = node.tables().quarantine.messages_for_round(passed);
     send(node, &Receiver::Fleet, words);
 }
 
 /// Takes in what another instance told, and passes what is new on to those that ask this one for news.
-pub(super) fn take<E: Edge>(node: &Node<E>, words: &[Word], now: Time) {
+pub(super) fn take<E: Edge>(node: &Node<E>, words: &[QuarantineMessage], now: Time) {
     let mut tables = node.tables();
     let mut news = Vec::new();
     for word in words {
-        if tables.quarantine.take(word, now) {
+        if tables.quarantine.apply(word, now) {
             news.push(word.clone());
         }
     }
     if tables.exchange.readers() > 0 {
-        tables.quarantine.pass_on(news, now);
+        tables.quarantine.queue_forward(news, now);
     }
 }
 
 /// Passes on what others told lately to those that ask this instance for news.
 pub(super) fn pass_on<E: Edge>(node: &Node<E>) {
     let now = node.now();
-    let words = node.tables().quarantine.take_passed_on(now);
+    let words = node.tables().quarantine.take_forwarded(now);
     send(node, &Receiver::Readers, words);
 }
 
@@ -121,7 +127,7 @@
 }
 
 /// Writes a verdict to the store, until it is there or a newer one is.
-async fn keep<E: Edge>(node: Arc<Node<E>>, verdict: Verdict) {
+async fn keep<E: Edge>(node: Arc<Node<E>>, verdict: QuarantineDecision) {
     let name = verdict.request.to_string();
     let content = Content::Verdict(verdict);
     let mut pause = STORE_PAUSE[0];
--- a/crates/gateway/src/net/stream.rs
+++ b/crates/gateway/src/net/stream.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
 
-use crate::decide::event_stream::{Cut, EventCutter};
+use crate::decide::event_stream::{EventSplitter, SplitResult};
 use crate::decide::health::Met;
 use crate::edge::Edge;
 
@@ -30,7 +30,7 @@
 struct Relay<E: Edge> {
     job: Job<E>,
     source: Option<Source<E>>,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     began: bool,
 }
 
@@ -60,7 +60,7 @@
 /// The answer to the caller; its events come as the target makes them.
 pub(super) fn relay<E: Edge>(job: Job<E>, answer: Answer<E>) -> Response<AnswerBody> {
     let (parts, source) = answer.into_stream();
-    let cutter = EventCutter::new(job.call.resume_after);
+    let cutter = EventSplitter::new(job.call.resume_after);
     let mut res = job.pass(&parts, super::refuse::whole(Bytes::new()));
     let relay = Relay {
         job,
@@ -86,14 +86,16 @@
         loop {
             let broken = match self.pull().await {
                 Next::Piece(piece) => match self.cutter.push(&piece) {
-                    Cut::Events(events) if events.is_empty() => continue,
-                    Cut::Events(events) => {
+                    SplitResult::Events(events) if events.is_empty() => continue,
+                    SplitResult::Events(events) => {
                         self.note_event();
                         return Ok(Some(events));
                     }
-                    Cut::Broken => Break::Useless("events out of order"),
+                    SplitResult::Invalid => Break::Useless("events out of order"),
                 },
-                Next::End if self.cutter.mid_event() => Break::Cut("the stream ended in an event"),
+                Next::End if self.cutter.is_mid_event() => {
+                    Break::Cut("the stream ended in an event")
+                }
                 Next::End if !self.began => Break::Cut("the stream ended before its first event"),
                 Next::End => {
                     if let Some(source) = self.source.take() {
@@ -165,7 +167,7 @@
         self.cutter.drop_partial();
         let last = self
             .cutter
-            .last()
+            .last_id()
             .map_or("none".into(), |id| id.to_string());
         let id = self.job.call.id.clone();
         let fields = [
@@ -178,7 +180,7 @@
             event(LogEvent::StreamBroken, &fields);
             return Err(io::Error::other(why));
         }
-        self.job.call.resume_after = self.cutter.last();
+        self.job.call.resume_after = self.cutter.last_id();
         match self.job.find().await {
             Found::Answer(answer) if answer.parts.status.is_success() => {
                 event(LogEvent::StreamResumed, &fields);
--- a/crates/gateway/src/packet.rs
+++ b/crates/gateway/src/packet.rs
@@ -9,7 +9,7 @@
 
 use crate::decide::adapter::{AdapterAt, AdapterKey};
 use crate::decide::exchange::Message;
-use crate::decide::quarantine::Word;
+use crate::decide::quarantine::QuarantineMessage;
 use crate::decide::residency::WordOrder;
 
 /// Longest datagram that is read.
@@ -25,7 +25,7 @@
     /// What engines hold; from the holder of their shard.
     Holdings(Vec<Holdings>),
     /// Requests under which targets end.
-    Quarantine(Vec<Word>),
+    Quarantine(Vec<QuarantineMessage>),
 }
 
 /// First byte of a datagram. It tells the form; another release that changes the form changes it, and
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of the gateway's log events.
+//! Tests of the catalogue of the gateway's log events.
 
 use std::collections::BTreeSet;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn no_number_is_used_twice() {
+fn event_numbers_are_unique() {
     let codes = LogEvent::ALL.iter().map(|event| event.code());
     assert_eq!(codes.collect::<BTreeSet<_>>().len(), LogEvent::ALL.len());
 }
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -1,118 +1,127 @@
-//! Limits that targets name for all instances together.
+//! Tests of rate limits that targets report for all instances together.
 
 mod support;
 
 use bluebellstage_core::{Revision, TargetId};
-use bluebellstage_gateway::decide::limits::{Change, LimitWord, Limits, RequestRate, Said};
+use bluebellstage_gateway::decide::limits::{
+    Change, LimitReport, Limits, ReportedLimit, RequestRate,
+};
 use bluebellstage_gateway::decide::placement::Pick;
 use support::fleet::{Fleet, Network};
-use support::limited::{Limited, Play, allowed};
+use support::limited::{LimitScenario, Simulation, allowed};
 use support::{at, call, draft, peer, tables};
 
-/// When the targets begin to name limits, in milliseconds.
-const NAMED: u64 = 2_000;
-/// Time after that from which the limits bind, in milliseconds.
-const CONTACT: u64 = 3_000;
+/// When the targets start to report limits, in milliseconds.
+const LIMITS_FROM_MS: u64 = 2_000;
+/// Time after that from which the limits must be kept, in milliseconds.
+const PROPAGATION_MS: u64 = 3_000;
 
-/// Two of six targets name a limit.
-fn two_limited(rate: u64) -> Limited {
-    Limited {
+/// Creates a scenario in which two of six targets report a limit.
+fn two_limited_targets(rate: u64) -> LimitScenario {
+    LimitScenario {
         targets: 6,
         limits: vec![1_900, 3_700],
         rate,
-        from_ms: NAMED,
+        from_ms: LIMITS_FROM_MS,
         for_ms: 60_000,
     }
 }
 
-fn assert_within(play: &Play, limits: &[u32], what: &str) {
+fn assert_limits_kept(simulation: &Simulation, limits: &[u32], what: &str) {
     for (target, limit) in limits.iter().enumerate() {
-        let most = play.most_in_a_window(target, NAMED + CONTACT);
-        assert!(most <= allowed(*limit), "{what}, c{target}: {most} in 4 s");
+        let arrivals = simulation.max_arrivals_in_a_window(target, LIMITS_FROM_MS + PROPAGATION_MS);
+        assert!(
+            arrivals <= allowed(*limit),
+            "{what}, c{target}: {arrivals} in 4 s"
+        );
     }
 }
 
-/// Guards against a limit that each instance keeps for itself, or that none reads.
+/// Guards against a limit that each instance applies to its own requests alone, or that is not read at all.
 #[test]
-fn all_instances_together_keep_a_limit() {
+fn all_instances_together_stay_within_a_limit() {
     for (count, domains, rate) in [(6, 3, 60), (75, 3, 150), (195, 5, 200)] {
-        let limited = two_limited(rate);
-        let limits = limited.limits.clone();
-        let mut play = limited.begin(Fleet::start(count, domains, 21));
-        play.run_ms(20_000);
-        assert_within(&play, &limits, &format!("{count} instances"));
+        let scenario = two_limited_targets(rate);
+        let limits = scenario.limits.clone();
+        let mut simulation = scenario.start(Fleet::start(count, domains, 21));
+        simulation.run_ms(20_000);
+        assert_limits_kept(&simulation, &limits, &format!("{count} instances"));
     }
 }
 
-/// Guards against spending that nobody counts while relays die and instances freeze and start.
+/// Guards against uncounted spending while relays are killed and instances freeze and restart.
 #[test]
-fn a_limit_holds_while_relays_die_and_instances_freeze_and_start() {
+fn a_limit_holds_while_relays_are_killed_and_instances_freeze_and_restart() {
     let limits = [1_900, 3_700, 2_000, 5_000];
-    let limited = Limited {
+    let scenario = LimitScenario {
         limits: limits.to_vec(),
         targets: 4,
-        ..two_limited(150)
+        ..two_limited_targets(150)
     };
-    let mut play = limited.begin(Fleet::start(75, 3, 31));
-    play.run_ms(NAMED + CONTACT);
+    let mut simulation = scenario.start(Fleet::start(75, 3, 31));
+    simulation.run_ms(LIMITS_FROM_MS + PROPAGATION_MS);
     for step in 0..4 {
-        let relays = play.fleet.relays();
+        let relays = simulation.fleet.relays();
         let relay = relays[step % relays.len()];
-        play.fleet.kill(relay);
-        play.run_ms(800);
-        play.restart(relay, step % 2 == 0);
-        let frozen = play.fleet.draw(75);
-        play.fleet.freeze(frozen);
-        play.run_ms(800);
-        play.fleet.thaw(frozen);
+        simulation.fleet.kill(relay);
+        simulation.run_ms(800);
+        simulation.restart(relay, step % 2 == 0);
+        let frozen = simulation.fleet.draw(75);
+        simulation.fleet.freeze(frozen);
+        simulation.run_ms(800);
+        simulation.fleet.thaw(frozen);
     }
-    assert_within(&play, &limits, "relays die");
+    assert_limits_kept(&simulation, &limits, "relays die");
 }
 
-/// Guards against requests that wait or fail for a limited target though others have room.
+/// Guards against requests that wait or fail for a limited target although others have free capacity.
 #[test]
-fn others_take_what_a_limited_target_does_not() {
-    let mut play = two_limited(60).begin(Fleet::start(6, 3, 22));
-    play.run_ms(10_000);
-    assert_eq!(play.refused, 0);
+fn requests_beyond_a_limit_go_to_other_targets() {
+    let mut simulation = two_limited_targets(60).start(Fleet::start(6, 3, 22));
+    simulation.run_ms(10_000);
+    assert_eq!(simulation.refused, 0);
 }
 
-/// Guards against a limit that nobody notices to be over, as nobody asks the target any more.
+/// Guards against a lifted limit that goes unnoticed because no instance sends requests to the target any
+/// more.
 #[test]
-fn a_target_whose_limit_is_over_is_used_again() {
+fn a_target_whose_limit_was_lifted_is_used_again() {
     for limit in [0, 1_900] {
-        let limited = Limited {
+        let scenario = LimitScenario {
             limits: vec![limit],
             for_ms: 6_000,
-            ..two_limited(60)
+            ..two_limited_targets(60)
         };
-        let mut play = limited.begin(Fleet::start(6, 3, 23));
-        play.run_ms(18_000);
-        let before = play.arrived(0, 0..NAMED);
-        let meanwhile = play.arrived(0, 4_000..8_000);
-        let after = play.arrived(0, 16_000..18_000);
+        let mut simulation = scenario.start(Fleet::start(6, 3, 23));
+        simulation.run_ms(18_000);
+        let before = simulation.arrived(0, 0..LIMITS_FROM_MS);
+        let meanwhile = simulation.arrived(0, 4_000..8_000);
+        let after = simulation.arrived(0, 16_000..18_000);
         assert!(meanwhile <= allowed(limit), "{limit}: {meanwhile}");
         assert!(after * 2 >= before, "{limit}: {after} after {before}");
     }
 }
 
-/// Guards against a word that relays tell each other for ever, each time as news: the limit would never seem old.
+/// Guards against a report that relays send to each other forever, each taking it for new: the limit would
+/// never become old.
 #[test]
-fn a_word_grows_old_in_a_relayed_fleet_too() {
+fn limit_reports_age_in_a_relayed_fleet() {
     let mut fleet = Fleet::start(45, 3, 24);
     fleet.network = Network::ROUGH;
-    let mut play = two_limited(0).begin(fleet);
+    let mut simulation = two_limited_targets(0).start(fleet);
     let id = target("c0");
-    let now = play.fleet.now;
-    let first = play.fleet.tables_mut(7);
-    first.answer_said(&id, Said::Limit(rate(1_000)), now, now);
-    play.fleet.run_ms(500);
-    let knows = |play: &Play, idx: usize| play.fleet.tables(idx).limits.of(&id).is_some();
-    assert!((0..45).all(|idx| knows(&play, idx)));
-    play.fleet.run_ms(2_000);
+    let now = simulation.fleet.now;
+    let first = simulation.fleet.tables_mut(7);
+    first.answer_said(&id, ReportedLimit::Limit(rate(1_000)), now, now);
+    simulation.fleet.run_ms(500);
+    let knows = |simulation: &Simulation, idx: usize| {
+        simulation.fleet.tables(idx).limits.get(&id).is_some()
+    };
+    assert!((0..45).all(|idx| knows(&simulation, idx)));
+    simulation.fleet.run_ms(2_000);
     let fresh = (0..45).filter(|idx| {
-        let limits = &play.fleet.tables(*idx).limits;
-        !limits.may_be_over(&id, play.fleet.now)
+        let limits = &simulation.fleet.tables(*idx).limits;
+        !limits.may_be_lifted(&id, simulation.fleet.now)
     });
     assert_eq!(fresh.collect::<Vec<_>>(), Vec::<usize>::new());
 }
@@ -125,57 +134,72 @@
     RequestRate::from_milli(milli)
 }
 
-/// Guards against an answer that was under way when the limit was named: it ends nothing.
+/// Guards against a response to a request that was in flight when the limit was reported: it must not lift
+/// the limit.
 #[test]
-fn an_answer_to_an_earlier_request_does_not_end_a_limit() {
+fn a_response_to_an_earlier_request_does_not_lift_a_limit() {
     let mut limits = Limits::default();
     let id = target("c0");
-    let named = limits.heard(&id, Said::Limit(rate(3_000)), at(0), at(20));
-    assert_eq!(named, Change::Limited(rate(3_000)));
-    let late = limits.heard(&id, Said::Unlimited, at(10), at(30));
-    assert_eq!((late, limits.of(&id)), (Change::Same, Some(rate(3_000))));
-    let over = limits.heard(&id, Said::Unlimited, at(25), at(40));
-    assert_eq!((over, limits.of(&id)), (Change::Over, None));
+    let reported = limits.record_response(&id, ReportedLimit::Limit(rate(3_000)), at(0), at(20));
+    assert_eq!(reported, Change::Limited(rate(3_000)));
+    let late = limits.record_response(&id, ReportedLimit::Unlimited, at(10), at(30));
+    assert_eq!(
+        (late, limits.get(&id)),
+        (Change::Unchanged, Some(rate(3_000)))
+    );
+    let lifted = limits.record_response(&id, ReportedLimit::Unlimited, at(25), at(40));
+    assert_eq!((lifted, limits.get(&id)), (Change::Lifted, None));
 }
 
 #[test]
-fn what_is_no_number_changes_nothing() {
+fn a_malformed_limit_is_ignored() {
     let mut limits = Limits::default();
     let id = target("c0");
-    limits.heard(&id, Said::Limit(rate(3_000)), at(0), at(20));
-    let change = limits.heard(&id, Said::Malformed, at(30), at(40));
-    assert_eq!((change, limits.of(&id)), (Change::Same, Some(rate(3_000))));
+    limits.record_response(&id, ReportedLimit::Limit(rate(3_000)), at(0), at(20));
+    let change = limits.record_response(&id, ReportedLimit::Malformed, at(30), at(40));
+    assert_eq!(
+        (change, limits.get(&id)),
+        (Change::Unchanged, Some(rate(3_000)))
+    );
 }
 
-/// Guards against a word that comes late and undoes a newer one.
+/// Guards against a delayed report that overwrites a newer one.
 #[test]
-fn the_newest_word_on_a_target_holds() {
+fn an_older_report_does_not_replace_a_newer_one() {
     let mut limits = Limits::default();
     let id = target("c0");
-    let word = |limit, age_ms| LimitWord {
+    let report = |limit, age_ms| LimitReport {
         target: target("c0"),
         limit,
         age_ms,
     };
-    let first = limits.take(&word(Some(rate(2_000)), 50), at(100));
+    let first = limits.apply(&report(Some(rate(2_000)), 50), at(100));
     assert_eq!(first, Some(Change::Limited(rate(2_000))));
-    assert_eq!(limits.take(&word(None, 10), at(110)), Some(Change::Over));
-    assert_eq!(limits.take(&word(Some(rate(2_000)), 70), at(120)), None);
-    assert_eq!(limits.of(&id), None);
+    assert_eq!(
+        limits.apply(&report(None, 10), at(110)),
+        Some(Change::Lifted)
+    );
+    assert_eq!(limits.apply(&report(Some(rate(2_000)), 70), at(120)), None);
+    assert_eq!(limits.get(&id), None);
 }
 
 #[test]
-fn a_target_that_is_gone_is_forgotten() {
+fn limits_of_removed_targets_are_dropped() {
     let mut limits = Limits::default();
-    limits.heard(&target("c0"), Said::Limit(rate(3_000)), at(0), at(20));
-    let forgotten = limits.forget(|id| id.as_str() == "c0");
+    limits.record_response(
+        &target("c0"),
+        ReportedLimit::Limit(rate(3_000)),
+        at(0),
+        at(20),
+    );
+    let forgotten = limits.remove_gone(|id| id.as_str() == "c0");
     assert_eq!(forgotten, [target("c0")]);
     assert!(limits.is_empty());
 }
 
-/// Guards against loading adapters where few requests may follow.
+/// Guards against loading adapters on a target that can serve few requests.
 #[test]
-fn no_adapter_is_loaded_on_a_limited_engine() {
+fn no_adapter_is_loaded_on_a_rate_limited_engine() {
     let mut tables = tables();
     let now = at(0);
     tables.peers.heard(peer("holder", now));
@@ -189,21 +213,21 @@
     let Pick::Load(first) = tables.pick(&ticket, &call, &[], 0.0, now) else {
         panic!("nothing is loaded yet");
     };
-    tables.answer_said(&first, Said::Limit(rate(1_000)), now, now);
+    tables.answer_said(&first, ReportedLimit::Limit(rate(1_000)), now, now);
     let other = if first == target("e0") { "e1" } else { "e0" };
     let pick = tables.pick(&ticket, &call, &[], 0.0, now);
     assert_eq!(pick, Pick::Load(target(other)));
 }
 
-/// Guards against calling targets gone that take little: a request may wait a moment for one.
+/// Guards against reporting targets with a low limit as missing: a request may wait for one of them.
 #[test]
-fn where_all_targets_are_limited_they_count_as_full() {
+fn pick_returns_full_if_all_targets_are_over_their_limit() {
     let mut tables = tables();
     let now = at(0);
     let only = support::target("c0", "court");
     tables.registry.put(only, Revision(1), now);
     let call = call("/file/1", Some("key-1"));
     let ticket = tables.admit(&call, 0, now).unwrap();
-    tables.answer_said(&target("c0"), Said::Limit(rate(0)), now, now);
+    tables.answer_said(&target("c0"), ReportedLimit::Limit(rate(0)), now, now);
     assert_eq!(tables.pick(&ticket, &call, &[], 0.0, now), Pick::Full);
 }
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which targets end: which are refused, and who is not.
+//! Tests of the quarantine: which requests are refused when targets crash, and which are not.
 
 mod support;
 
@@ -6,18 +6,19 @@
 
 use bluebellstage_core::{TargetId, WorkspaceId};
 use bluebellstage_gateway::decide::quarantine::{
-    AgedVerdict, CutRun, Decision, Ended, Fingerprint, JUDGED_AFTER, Quarantine, VERDICT_LASTS,
-    Verdict, Word,
+    AgedDecision, Crash, DECISION_TTL, DecisionKind, EVALUATION_DELAY, Fingerprint, InterruptedRun,
+    Quarantine, QuarantineDecision, QuarantineMessage,
 };
 use bluebellstage_gateway::decide::rendezvous::ShortHash;
 use support::at;
-use support::crashes::{Crashes, Got};
+use support::crashes::{CrashScenario, Outcome};
 
-/// Targets that a request may reach once three have ended under it and all could know.
-const MOST_AFTER_THIRD: usize = 3;
+/// Maximum number of targets that a request may reach once three have crashed under it and the report has had
+/// time to arrive everywhere.
+const MAX_AFTER_THIRD: usize = 3;
 
-fn small(seed: u64) -> Crashes {
-    Crashes {
+fn small(seed: u64) -> CrashScenario {
+    CrashScenario {
         instances: 8,
         engines: 9,
         rate: 80,
@@ -25,16 +26,16 @@
         bad: 0,
         bodies: None,
         outages: Vec::new(),
-        loss: 0.02,
-        down_ms: 5_000,
-        takes_ms: 200..3_000,
+        loss_probability: 0.02,
+        restart_ms: 5_000,
+        duration_ms: 200..3_000,
         seconds: 30,
         seed,
     }
 }
 
-fn large(seed: u64) -> Crashes {
-    Crashes {
+fn large(seed: u64) -> CrashScenario {
+    CrashScenario {
         instances: 195,
         engines: 117,
         rate: 300,
@@ -44,110 +45,122 @@
     }
 }
 
-/// So many engines end together, again and again.
+/// Returns outages in which this many engines crash together, at regular intervals.
 fn series(gap_ms: u64, engines: usize) -> Vec<(u64, usize)> {
-    let ends = 2_000_u64..28_000;
-    let ends = ends.step_by(usize::try_from(gap_ms).unwrap());
-    ends.map(|at| (at, engines)).collect()
+    let crashes = 2_000_u64..28_000;
+    let crashes = crashes.step_by(usize::try_from(gap_ms).unwrap());
+    crashes.map(|at| (at, engines)).collect()
 }
 
-fn assert_stopped(seed: u64, got: &Got) {
-    let after = got.after_third.iter().copied().max().unwrap_or(0);
-    assert!(after <= MOST_AFTER_THIRD, "seed {seed}: {got:?}");
+fn assert_stopped(seed: u64, outcome: &Outcome) {
+    let after = outcome
+        .reached_after_third
+        .iter()
+        .copied()
+        .max()
+        .unwrap_or(0);
+    assert!(after <= MAX_AFTER_THIRD, "seed {seed}: {outcome:?}");
 }
 
 /// Guards against refusing bystanders that were on the same engines as the cause.
 #[test]
-fn one_bad_request_among_many_is_stopped_and_no_other() {
+fn only_the_bad_request_among_many_is_refused() {
     for seed in 0..12 {
-        let got = Crashes {
+        let outcome = CrashScenario {
             bad: 1,
             ..small(seed)
         }
-        .play();
-        assert_stopped(seed, &got);
-        assert_eq!(got.wronged, 0, "seed {seed}: {got:?}");
+        .run();
+        assert_stopped(seed, &outcome);
+        assert_eq!(outcome.wrongly_refused, 0, "seed {seed}: {outcome:?}");
     }
 }
 
-/// Guards against bad requests that hide each other: on the few engines that are left they end together.
+/// Guards against bad requests that hide each other: with few engines left, they are on the same ones when
+/// these crash.
 #[test]
-fn ten_bad_requests_at_once_are_stopped() {
+fn ten_concurrent_bad_requests_are_refused() {
     for seed in 0..12 {
         assert_stopped(
             seed,
-            &Crashes {
+            &CrashScenario {
                 bad: 10,
                 ..small(seed)
             }
-            .play(),
+            .run(),
         );
     }
 }
 
-/// Guards against counts that don't reach all instances of a large fleet.
+/// Guards against crash counts that don't reach all instances of a large fleet.
 #[test]
-fn ten_bad_requests_in_a_large_fleet_are_stopped_and_no_other() {
-    let got = Crashes {
+fn only_the_ten_bad_requests_in_a_large_fleet_are_refused() {
+    let outcome = CrashScenario {
         bad: 10,
         ..large(1)
     }
-    .play();
-    assert_stopped(1, &got);
-    assert_eq!(got.wronged, 0, "{got:?}");
+    .run();
+    assert_stopped(1, &outcome);
+    assert_eq!(outcome.wrongly_refused, 0, "{outcome:?}");
 }
 
-/// Guards against taking bystanders for the cause while engines end for another reason.
+/// Guards against taking bystanders for the cause while engines crash for another reason.
 #[test]
 fn no_request_is_refused_in_an_outage() {
     for seed in 0..8 {
         for outages in [series(1_000, 1), series(3_000, 4)] {
-            let got = Crashes {
+            let outcome = CrashScenario {
                 outages,
                 ..small(seed)
             }
-            .play();
-            assert_eq!(got.wronged, 0, "seed {seed}: {got:?}");
+            .run();
+            assert_eq!(outcome.wrongly_refused, 0, "seed {seed}: {outcome:?}");
         }
     }
 }
 
-/// Guards against refusing a request that was on three ended engines by chance.
+/// Guards against refusing a request that was on three crashed engines by coincidence.
 #[test]
-fn who_was_on_three_ended_engines_by_chance_is_served() {
-    let plays = (0..8).map(|seed| {
+fn requests_on_three_crashed_engines_by_coincidence_are_served() {
+    let outcomes = (0..8).map(|seed| {
         let outages = series(1_000, 1);
-        Crashes {
+        CrashScenario {
             outages,
             ..small(seed)
         }
-        .play()
+        .run()
     });
-    let plays = plays.collect::<Vec<_>>();
-    let served = plays.iter().map(|got| got.cut_thrice_served).sum::<usize>();
-    assert!(served > 0, "nobody was on three: the play shows nothing");
-    assert!(plays.iter().all(|got| got.wronged == 0));
+    let outcomes = outcomes.collect::<Vec<_>>();
+    let served = outcomes
+        .iter()
+        .map(|outcome| outcome.interrupted_thrice_served)
+        .sum::<usize>();
+    assert!(
+        served > 0,
+        "no request was on three crashed engines, so nothing was tested"
+    );
+    assert!(outcomes.iter().all(|outcome| outcome.wrongly_refused == 0));
 }
 
-/// Guards against refusing what many callers ask: it is on every target that ends.
+/// Guards against refusing a request that many callers send: it is on every target that crashes.
 #[test]
-fn what_is_asked_all_the_time_is_not_refused() {
+fn frequent_requests_are_not_refused() {
     for seed in 0..8 {
-        let drafts = Crashes {
+        let drafts = CrashScenario {
             bodies: Some(5),
             outages: series(700, 1),
             ..small(seed)
         };
-        let lookups = Crashes {
+        let lookups = CrashScenario {
             bodies: Some(3),
             engines: 3,
-            takes_ms: 10..40,
+            duration_ms: 10..40,
             outages: series(1_500, 1),
             ..small(seed)
         };
-        for play in [drafts, lookups] {
-            let got = play.play();
-            assert_eq!(got.wronged, 0, "seed {seed}: {got:?}");
+        for scenario in [drafts, lookups] {
+            let outcome = scenario.run();
+            assert_eq!(outcome.wrongly_refused, 0, "seed {seed}: {outcome:?}");
         }
     }
 }
@@ -157,34 +170,35 @@
     Fingerprint::of(Some(&workspace), "/draft/1?x=1", body.as_bytes())
 }
 
-fn ended(life: &str, cuts: &[(&str, u64)]) -> Ended {
-    let cuts = cuts.iter();
-    let cuts = cuts.map(|(body, ran)| CutRun::new(request(body), Duration::from_millis(*ran)));
-    Ended {
-        life: ShortHash::of(life),
+fn crash_of(incarnation: &str, interrupted: &[(&str, u64)]) -> Crash {
+    let interrupted = interrupted.iter();
+    let interrupted = interrupted
+        .map(|(body, run_ms)| InterruptedRun::new(request(body), Duration::from_millis(*run_ms)));
+    Crash {
+        incarnation: ShortHash::of(incarnation),
         targets: 9,
         age_ms: 0,
-        cuts: cuts.collect(),
+        interrupted: interrupted.collect(),
     }
 }
 
-fn on(ended: &Ended) -> Vec<Fingerprint> {
-    ended.cuts.iter().map(|cut| cut.request).collect()
+fn requests_of(crash: &Crash) -> Vec<Fingerprint> {
+    crash.interrupted.iter().map(|run| run.request).collect()
 }
 
-/// Lets targets end one after the other, a second apart, and judges each end.
-fn play(quarantine: &mut Quarantine, ends: &[Ended]) -> Vec<Verdict> {
+/// Lets targets crash one after the other, a second apart, and evaluates each crash.
+fn crash_in_turn(quarantine: &mut Quarantine, crashes: &[Crash]) -> Vec<QuarantineDecision> {
     let mut refused = Vec::new();
-    for (idx, end) in (0_u64..).zip(ends) {
+    for (idx, crash) in (0_u64..).zip(crashes) {
         let now = at(idx * 1_000);
-        quarantine.ended(end, now);
-        refused.extend(quarantine.judge(&on(end), now + JUDGED_AFTER));
+        quarantine.record_crash(crash, now);
+        refused.extend(quarantine.evaluate(&requests_of(crash), now + EVALUATION_DELAY));
     }
     refused
 }
 
 #[test]
-fn a_fingerprint_tells_workspace_path_and_body_apart() {
+fn fingerprints_differ_by_workspace_path_and_body() {
     let [north, south] = ["north", "south"].map(|name| WorkspaceId::try_from(name).unwrap());
     let of = |workspace, path, body: &str| Fingerprint::of(workspace, path, body.as_bytes());
     let own = of(Some(&north), "/a", "b");
@@ -202,180 +216,201 @@
     }
 }
 
-/// Guards against counting one end twice: each instance that had requests there tells of it.
+/// Guards against counting one crash twice: each instance that had requests on the target reports it.
 #[test]
-fn an_end_that_many_tell_of_counts_once() {
+fn a_crash_reported_by_many_instances_counts_once() {
     let mut quarantine = Quarantine::default();
-    let end = ended("e1", &[("bad", 10)]);
+    let crash = crash_of("e1", &[("bad", 10)]);
     for _ in 0..8 {
-        quarantine.take(&Word::Ended(end.clone()), at(0));
-        assert!(quarantine.judge(&on(&end), at(60)).is_empty());
+        quarantine.apply(&QuarantineMessage::Crashed(crash.clone()), at(0));
+        assert!(quarantine.evaluate(&requests_of(&crash), at(60)).is_empty());
     }
-    assert_eq!(quarantine.suspicion(request("bad")), 1);
+    assert_eq!(quarantine.crash_count(request("bad")), 1);
 }
 
-/// Guards against an outage that ends several targets in one moment: the runs there are one piece of evidence.
+/// Guards against counting an outage that crashes several targets at once as several crashes: the runs on
+/// them are one piece of evidence.
 #[test]
-fn ends_in_one_moment_are_one_piece_of_evidence() {
+fn simultaneous_crashes_are_one_piece_of_evidence() {
     let mut quarantine = Quarantine::default();
-    for life in ["e1", "e2", "e3", "e4", "e5", "e6", "e7"] {
-        let end = ended(life, &[("common", 10)]);
-        quarantine.ended(&end, at(5));
-        assert!(quarantine.judge(&on(&end), at(60)).is_empty());
+    for incarnation in ["e1", "e2", "e3", "e4", "e5", "e6", "e7"] {
+        let crash = crash_of(incarnation, &[("common", 10)]);
+        quarantine.record_crash(&crash, at(5));
+        assert!(quarantine.evaluate(&requests_of(&crash), at(60)).is_empty());
     }
 }
 
 #[test]
-fn a_whole_answer_proves_a_request_harmless() {
+fn a_complete_response_clears_a_request() {
     let mut quarantine = Quarantine::default();
-    let ends = ["e1", "e2", "e3"].map(|life| ended(life, &[("asked often", 40)]));
-    assert!(play(&mut quarantine, &ends[..2]).is_empty());
-    let word = quarantine.served(request("asked often"), at(1_900));
-    assert_eq!(word, Some(Word::Served(request("asked often"))));
-    assert!(play(&mut quarantine, &ends[2..]).is_empty());
-    assert_eq!(quarantine.suspicion(request("asked often")), 0);
+    let crashes =
+        ["e1", "e2", "e3"].map(|incarnation| crash_of(incarnation, &[("asked often", 40)]));
+    assert!(crash_in_turn(&mut quarantine, &crashes[..2]).is_empty());
+    let message = quarantine.record_served(request("asked often"), at(1_900));
+    assert_eq!(
+        message,
+        Some(QuarantineMessage::Served(request("asked often")))
+    );
+    assert!(crash_in_turn(&mut quarantine, &crashes[2..]).is_empty());
+    assert_eq!(quarantine.crash_count(request("asked often")), 0);
 }
 
-/// Guards against blaming a bystander for ends that are explained.
+/// Guards against blaming a bystander for crashes that have a known cause.
 #[test]
-fn who_was_there_with_a_known_cause_is_not_blamed() {
+fn bystanders_of_a_known_cause_are_not_refused() {
     let mut quarantine = Quarantine::default();
-    let with = |life| ended(life, &[("bad", 10), ("bystander", 900)]);
-    let refused = play(&mut quarantine, &["e1", "e2", "e3"].map(with));
-    let refused = refused.iter().map(|verdict| verdict.request);
+    let with = |incarnation| crash_of(incarnation, &[("bad", 10), ("bystander", 900)]);
+    let refused = crash_in_turn(&mut quarantine, &["e1", "e2", "e3"].map(with));
+    let refused = refused.iter().map(|decision| decision.request);
     assert_eq!(refused.collect::<Vec<_>>(), [request("bad")]);
-    assert!(quarantine.refuses(request("bad")));
-    let more = ["e4", "e5"].map(|life| ended(life, &[("bystander", 30)]));
-    assert!(play(&mut quarantine, &more).is_empty());
+    assert!(quarantine.is_refused(request("bad")));
+    let more = ["e4", "e5"].map(|incarnation| crash_of(incarnation, &[("bystander", 30)]));
+    assert!(crash_in_turn(&mut quarantine, &more).is_empty());
 }
 
-/// Guards against refusing one of two that were always together: neither stands out.
+/// Guards against refusing one of two requests that were always on the same targets, as the evidence against
+/// both is alike.
 #[test]
-fn two_that_were_on_the_same_targets_are_told_apart_before_one_is_refused() {
+fn neither_of_two_requests_on_the_same_targets_is_refused_until_one_stands_out() {
     let mut quarantine = Quarantine::default();
-    let both = ["e1", "e2", "e3"].map(|life| ended(life, &[("bad", 10), ("twin", 12)]));
-    assert!(play(&mut quarantine, &both).is_empty());
-    let alone = ended("e4", &[("bad", 10)]);
-    quarantine.ended(&alone, at(9_000));
-    let refused = quarantine.judge(&on(&alone), at(9_060));
+    let both =
+        ["e1", "e2", "e3"].map(|incarnation| crash_of(incarnation, &[("bad", 10), ("twin", 12)]));
+    assert!(crash_in_turn(&mut quarantine, &both).is_empty());
+    let alone = crash_of("e4", &[("bad", 10)]);
+    quarantine.record_crash(&alone, at(9_000));
+    let refused = quarantine.evaluate(&requests_of(&alone), at(9_060));
     assert_eq!(refused.len(), 1);
-    assert!(!quarantine.refuses(request("twin")));
+    assert!(!quarantine.is_refused(request("twin")));
 }
 
 #[test]
-fn suspects_are_sent_to_a_part_of_the_targets_that_changes_with_each_end() {
+fn suspects_are_limited_to_a_subset_of_targets_that_changes_with_each_crash() {
     let mut quarantine = Quarantine::default();
     let targets = (0..90).map(|idx| TargetId::try_from(&*format!("e{idx}")).unwrap());
     let targets = targets.collect::<Vec<_>>();
-    let part = |quarantine: &Quarantine| {
+    let partition = |quarantine: &Quarantine| {
         let apart = targets.iter();
-        let apart = apart.filter(|target| quarantine.is_apart(request("bad"), target));
+        let apart =
+            apart.filter(|target| quarantine.is_in_suspect_partition(request("bad"), target));
         apart.cloned().collect::<Vec<_>>()
     };
-    quarantine.ended(&ended("e1", &[("bad", 10)]), at(0));
-    let first = part(&quarantine);
-    quarantine.ended(&ended("e2", &[("bad", 10)]), at(1_000));
-    let second = part(&quarantine);
+    quarantine.record_crash(&crash_of("e1", &[("bad", 10)]), at(0));
+    let first = partition(&quarantine);
+    quarantine.record_crash(&crash_of("e2", &[("bad", 10)]), at(1_000));
+    let second = partition(&quarantine);
     assert!((15..45).contains(&first.len()));
     assert_ne!(first, second);
 }
 
 #[test]
-fn an_operator_lets_a_request_through_and_no_older_word_undoes_it() {
+fn an_older_decision_does_not_undo_an_operators_clearance() {
     let mut quarantine = Quarantine::default();
-    let ends = ["e1", "e2", "e3"].map(|life| ended(life, &[("bad", 10)]));
-    let refused = play(&mut quarantine, &ends);
+    let crashes = ["e1", "e2", "e3"].map(|incarnation| crash_of(incarnation, &[("bad", 10)]));
+    let refused = crash_in_turn(&mut quarantine, &crashes);
     let cleared = quarantine.clear(request("bad"), at(4_000)).unwrap();
-    assert_eq!(cleared.decision, Decision::Cleared);
-    assert!(!quarantine.refuses(request("bad")));
-    assert!(!quarantine.take(&Word::Decided(refused[0]), at(4_100)));
-    assert!(!quarantine.refuses(request("bad")));
+    assert_eq!(cleared.kind, DecisionKind::Cleared);
+    assert!(!quarantine.is_refused(request("bad")));
+    assert!(!quarantine.apply(&QuarantineMessage::Decided(refused[0]), at(4_100)));
+    assert!(!quarantine.is_refused(request("bad")));
     assert_eq!(quarantine.clear(request("bad"), at(4_200)), None);
 }
 
-/// Guards against instances that hold other verdicts and take each other for alike.
+/// Guards against instances that hold different decisions but consider their state equal.
 #[test]
-fn a_digest_tells_verdicts_apart_and_is_zero_without_any() {
+fn digests_differ_by_decisions_and_are_zero_without_any() {
     let mut one = Quarantine::default();
     let mut two = Quarantine::default();
     assert_eq!(one.digest(), 0);
-    let ends = ["e1", "e2", "e3"].map(|life| ended(life, &[("bad", 10)]));
-    play(&mut one, &ends);
+    let crashes = ["e1", "e2", "e3"].map(|incarnation| crash_of(incarnation, &[("bad", 10)]));
+    crash_in_turn(&mut one, &crashes);
     assert_ne!(one.digest(), two.digest());
-    let copies = one.verdicts(at(5_000)).collect::<Vec<_>>();
-    for AgedVerdict { verdict, age } in copies {
-        assert!(two.adopt(verdict, age, at(5_000)));
+    let copies = one.decisions(at(5_000)).collect::<Vec<_>>();
+    for AgedDecision { decision, age } in copies {
+        assert!(two.adopt(decision, age, at(5_000)));
     }
     assert_eq!(one.digest(), two.digest());
     one.clear(request("bad"), at(6_000));
     assert_ne!(one.digest(), two.digest());
-    let later = at(6_000) + VERDICT_LASTS;
+    let later = at(6_000) + DECISION_TTL;
     one.sweep(later);
     two.sweep(later);
     assert_eq!((one.digest(), two.digest()), (0, 0));
 }
 
-/// Guards against growing without end while targets end and callers send what was never seen before.
+/// Guards against unbounded growth while targets crash and callers send requests that were never seen before.
 #[test]
-fn what_is_kept_is_bounded() {
+fn memory_is_bounded() {
     let mut quarantine = Quarantine::default();
     for idx in 0..3_000_u32 {
         let body = format!("body {idx}");
-        let end = ended(&format!("e{idx}"), &[(&body, 10)]);
+        let crash = crash_of(&format!("e{idx}"), &[(&body, 10)]);
         let now = at(u64::from(idx) * 10);
-        quarantine.take(&Word::Ended(end), now);
-        quarantine.served(request(&format!("served {idx}")), now);
-        let verdict = Verdict::next(request(&format!("bad {idx}")), Decision::Refused, None);
-        quarantine.adopt(verdict, Duration::ZERO, now);
+        quarantine.apply(&QuarantineMessage::Crashed(crash), now);
+        quarantine.record_served(request(&format!("served {idx}")), now);
+        let decision =
+            QuarantineDecision::next(request(&format!("bad {idx}")), DecisionKind::Refused, None);
+        quarantine.adopt(decision, Duration::ZERO, now);
     }
-    assert!(quarantine.suspected().count() <= 256);
-    assert!(quarantine.verdicts(at(30_000)).count() <= 1_024);
+    assert!(quarantine.suspects().count() <= 256);
+    assert!(quarantine.decisions(at(30_000)).count() <= 1_024);
     assert_eq!(quarantine.digest(), 0);
 }
 
-/// Guards against a lost datagram: a word is told in three more rounds, with its age.
+/// Guards against a lost datagram: a message is sent in three more rounds, with its current age.
 #[test]
-fn words_are_told_again_with_their_age() {
+fn messages_are_sent_again_with_their_age() {
     let mut quarantine = Quarantine::default();
-    let words = quarantine.ended(&ended("e1", &[("bad", 10)]), at(0));
-    quarantine.tell_again(words);
+    let messages = quarantine.record_crash(&crash_of("e1", &[("bad", 10)]), at(0));
+    quarantine.queue_resend(messages);
     let round = Duration::from_millis(100);
-    let ages = (0..5).map(|_| match quarantine.tell_round(round).first() {
-        Some(Word::Ended(ended)) => Some(ended.age_ms),
+    let ages = (0..5).map(|_| match quarantine.messages_for_round(round).first() {
+        Some(QuarantineMessage::Crashed(crash)) => Some(crash.age_ms),
         _ => None,
     });
     let ages = ages.collect::<Vec<_>>();
     assert_eq!(ages, [Some(100), Some(200), Some(300), None, None]);
 }
 
-/// Guards against a verdict that never ends, as instances copy it from each other in turn.
+/// Guards against a decision that never expires because instances copy it from each other in turn.
 #[test]
-fn a_copied_verdict_ends_with_the_one_that_it_was_copied_from() {
+fn a_copied_decision_expires_with_its_original() {
     let mut one = Quarantine::default();
     let mut two = Quarantine::default();
-    let verdict = Verdict::next(request("bad"), Decision::Refused, None);
-    one.adopt(verdict, Duration::ZERO, at(0));
-    let late = at(0) + VERDICT_LASTS - Duration::from_secs(1);
-    let copies = one.verdicts(late).collect::<Vec<_>>();
-    two.adopt(copies[0].verdict, copies[0].age, late);
-    assert!(two.refuses(request("bad")));
-    let over = at(0) + VERDICT_LASTS;
-    assert_eq!(two.sweep(over), [request("bad")]);
-    assert!(!two.refuses(request("bad")));
-    assert!(!two.adopt(verdict, VERDICT_LASTS, over));
+    let decision = QuarantineDecision::next(request("bad"), DecisionKind::Refused, None);
+    one.adopt(decision, Duration::ZERO, at(0));
+    let late = at(0) + DECISION_TTL - Duration::from_secs(1);
+    let copies = one.decisions(late).collect::<Vec<_>>();
+    two.adopt(copies[0].decision, copies[0].age, late);
+    assert!(two.is_refused(request("bad")));
+    let expired_at = at(0) + DECISION_TTL;
+    assert_eq!(two.sweep(expired_at), [request("bad")]);
+    assert!(!two.is_refused(request("bad")));
+    assert!(!two.adopt(decision, DECISION_TTL, expired_at));
 }
 
-/// Guards against an end that seems later than it was: the next run of its cause would seem to have been under way
-/// with it, and count for nothing.
+/// Guards against a crash that seems later than it was: the next run of its cause would seem to overlap with
+/// it and would not count as evidence.
 #[test]
-fn a_word_that_is_passed_on_keeps_its_age() {
+fn a_forwarded_message_keeps_its_age() {
     let mut quarantine = Quarantine::default();
-    let word = Word::Ended(ended("e1", &[("bad", 10)]));
-    quarantine.pass_on(vec![word], at(0));
-    let words = quarantine.take_passed_on(at(25));
-    let [Word::Ended(ended)] = words.as_slice() else {
-        panic!("{words:?}");
+    let message = QuarantineMessage::Crashed(crash_of("e1", &[("bad", 10)]));
+    quarantine.queue_forward(vec![message], at(0));
+    let messages = quarantine.take_forwarded(at(25));
+    let [QuarantineMessage::Crashed(crash)] = messages.as_slice() else {
+        panic!("{messages:?}");
     };
-    assert_eq!(ended.age_ms, 25);
-    assert!(quarantine.take_passed_on(at(50)).is_empty());
+    assert_eq!(crash.age_ms, 25);
+    assert!(quarantine.take_forwarded(at(50)).is_empty());
+}
+
+/// Guards against a renamed field: decisions in the store are read by instances of other versions.
+#[test]
+fn a_decision_keeps_its_serialized_names() {
+    let decision = QuarantineDecision::next(request("bad"), DecisionKind::Refused, None);
+    let expected = serde_json::json!({
+        "request": request("bad").to_string(),
+        "decision": "refused",
+        "revision": 1,
+    });
+    assert_eq!(serde_json::to_value(decision).unwrap(), expected);
 }
--- a/crates/gateway/tests/quarantine_news.rs
+++ b/crates/gateway/tests/quarantine_news.rs
@@ -5,16 +5,18 @@
 use std::time::Duration;
 
 use bluebellstage_core::WorkspaceId;
-use bluebellstage_gateway::decide::quarantine::{AgedVerdict, Decision, Fingerprint, Verdict};
+use bluebellstage_gateway::decide::quarantine::{
+    AgedDecision, DecisionKind, Fingerprint, QuarantineDecision,
+};
 use support::fleet::{Fleet, Network};
 
 /// Time in milliseconds after which everyone must hold a verdict, though no word reached it.
 const KNOWN_MS: u64 = 3_000;
 
-fn verdict() -> Verdict {
+fn verdict() -> QuarantineDecision {
     let workspace = WorkspaceId::try_from("north").unwrap();
     let request = Fingerprint::of(Some(&workspace), "/draft/1", b"bad");
-    Verdict::next(request, Decision::Refused, None)
+    QuarantineDecision::next(request, DecisionKind::Refused, None)
 }
 
 fn rule(fleet: &mut Fleet, idx: usize) {
@@ -45,10 +47,10 @@
         return;
     };
     let now = fleet.now;
-    let verdicts = fleet.tables(giver).quarantine.verdicts(now);
+    let verdicts = fleet.tables(giver).quarantine.decisions(now);
     let verdicts = verdicts.collect::<Vec<_>>();
-    for AgedVerdict { verdict, age } in verdicts {
-        fleet.tables_mut(idx).quarantine.adopt(verdict, age, now);
+    for AgedDecision { decision, age } in verdicts {
+        fleet.tables_mut(idx).quarantine.adopt(decision, age, now);
     }
 }
 
--- a/crates/gateway/tests/reload.rs
+++ b/crates/gateway/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Which changed settings are taken over at once, and which wait for a restart.
+//! Tests which changed settings apply at once, and which wait for a restart.
 
 mod support;
 
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn a_reading_in_another_life_is_unchanged() {
+fn a_different_incarnation_is_no_change() {
     let again = compared(|read| read.member.incarnation = Incarnation(8));
     assert_eq!(again, Reload::Unchanged);
 }
 
 #[test]
-fn a_term_is_taken_over() {
+fn changed_terms_apply_at_once() {
     let changed = compared(|read| read.terms.retry_budget.slack = 20.0);
     let Reload::Changed { terms, at_restart } = changed else {
         panic!("{changed:?}");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_peers_know_the_process_by_waits_for_a_restart() {
+fn settings_known_to_peers_wait_for_a_restart() {
     let changed = compared(|read| read.handover = Duration::from_secs(4));
     let waiting = Reload::Changed {
         terms: None,
