--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -1,11 +1,11 @@
-//! Tests of the order of streams and of the budget for repeats.
+//! Tests of the event order of streams and of the retry budget.
 
 mod support;
 
 use std::time::Duration;
 
 use bluebellstage_core::ServiceId;
-use bluebellstage_gateway::decide::event_stream::{Cut, EventCutter};
+use bluebellstage_gateway::decide::event_stream::{EventSplitter, SplitResult};
 use bluebellstage_gateway::decide::retry_budget::{RetryBudget, RetryCounts};
 use support::at;
 
@@ -14,50 +14,56 @@
 }
 
 #[test]
-fn only_whole_events_go_on() {
-    let mut cutter = EventCutter::new(None);
+fn only_complete_events_are_forwarded() {
+    let mut splitter = EventSplitter::new(None);
     let two = event(1) + &event(2);
     let (first, rest) = two.split_at(event(1).len() + 4);
-    assert_eq!(cutter.push(first.as_bytes()), Cut::Events(event(1).into()));
-    assert!(cutter.mid_event());
-    assert_eq!(cutter.push(rest.as_bytes()), Cut::Events(event(2).into()));
-    assert!(!cutter.mid_event());
-    assert_eq!(cutter.last(), Some(2));
+    assert_eq!(
+        splitter.push(first.as_bytes()),
+        SplitResult::Events(event(1).into())
+    );
+    assert!(splitter.is_mid_event());
+    assert_eq!(
+        splitter.push(rest.as_bytes()),
+        SplitResult::Events(event(2).into())
+    );
+    assert!(!splitter.is_mid_event());
+    assert_eq!(splitter.last_id(), Some(2));
 }
 
-/// A parent reads a clause with a sentence missing, or twice: the stream went on at another engine
-/// from the wrong place.
+/// Guards against a stream with missing or repeated text: it was resumed at another engine from the wrong
+/// position.
 #[test]
-fn a_gap_or_a_repeat_is_noticed() {
+fn gaps_and_repeated_events_are_detected() {
     for wrong in [2, 4] {
-        let mut cutter = EventCutter::new(Some(2));
-        assert_eq!(cutter.push(event(wrong).as_bytes()), Cut::Broken);
-        assert_eq!(cutter.last(), Some(2));
+        let mut splitter = EventSplitter::new(Some(2));
+        assert_eq!(splitter.push(event(wrong).as_bytes()), SplitResult::Invalid);
+        assert_eq!(splitter.last_id(), Some(2));
     }
 }
 
 #[test]
-fn the_beginning_of_an_event_is_dropped_with_its_target() {
-    let mut cutter = EventCutter::new(None);
-    cutter.push(event(1).as_bytes());
-    cutter.push(b"id: 2\nda");
-    cutter.drop_partial();
+fn an_incomplete_event_is_dropped_with_its_target() {
+    let mut splitter = EventSplitter::new(None);
+    splitter.push(event(1).as_bytes());
+    splitter.push(b"id: 2\nda");
+    splitter.drop_partial();
     assert_eq!(
-        cutter.push(event(2).as_bytes()),
-        Cut::Events(event(2).into())
+        splitter.push(event(2).as_bytes()),
+        SplitResult::Events(event(2).into())
     );
 }
 
 #[test]
-fn an_endless_event_is_wrong() {
-    let mut cutter = EventCutter::new(None);
-    assert_eq!(cutter.push(&vec![b'x'; 70_000]), Cut::Broken);
+fn an_event_that_is_too_long_is_invalid() {
+    let mut splitter = EventSplitter::new(None);
+    assert_eq!(splitter.push(&vec![b'x'; 70_000]), SplitResult::Invalid);
 }
 
-/// Many callers repeat at once; were their requests sent again by the instances as well, servers
-/// that are barely up would go down again.
+/// Guards against retries that overload recovering servers: many callers retry at once, and instances that
+/// retry each of these requests as well would bring the servers down again.
 #[test]
-fn repeats_stay_within_the_budget_of_any_window() {
+fn retries_stay_within_the_budget_of_a_window() {
     let court = ServiceId::try_from("court").unwrap();
     let budget = RetryBudget {
         ratio: 0.2,
@@ -65,10 +71,10 @@
         slack: 16.0,
     };
     let mut counts = RetryCounts::default();
-    let mut repeats = 0;
+    let mut retries = 0;
     for ms in (0..10_000).step_by(100) {
-        counts.request(&court, at(ms));
-        repeats += u32::from(counts.take(&court, budget, 8, at(ms)));
+        counts.record_request(&court, at(ms));
+        retries += u32::from(counts.take_retry(&court, budget, 8, at(ms)));
     }
-    assert!((10..=22).contains(&repeats), "{repeats}");
+    assert!((10..=22).contains(&retries), "{retries}");
 }
--- a/crates/gateway/tests/support/crashes.rs
+++ b/crates/gateway/tests/support/crashes.rs
@@ -1,5 +1,5 @@
-//! Engines that end under requests, in virtual time: callers come back at any instance, and instances tell each
-//! other over a network that delays and loses. The real quarantine of each instance runs in it.
+//! Simulation of engines that crash under requests, in virtual time. Callers retry at random instances, and
+//! instances exchange messages over a network with delays and losses. Each instance runs the real quarantine.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -8,7 +8,7 @@
 
 use bluebellstage_core::{TargetId, Time, WorkspaceId};
 use bluebellstage_gateway::decide::quarantine::{
-    CutRun, Ended, Fingerprint, JUDGED_AFTER, Quarantine, Word,
+    Crash, EVALUATION_DELAY, Fingerprint, InterruptedRun, Quarantine, QuarantineMessage,
 };
 use bluebellstage_gateway::decide::rendezvous::{ShortHash, weight};
 use rand::{Rng, SeedableRng};
@@ -16,54 +16,55 @@
 
 use super::at;
 
-/// Runs in one attempt of a caller.
-const RUNS: u32 = 2;
-/// Attempts of a caller.
-const ATTEMPTS: u32 = 2;
-/// Time after the third end in which instances may still learn of it.
-const CONTACT_MS: u64 = 3_000;
-/// Pause between the rounds in which words are told again.
-const ROUND_MS: u64 = 100;
-/// Time until it is known that an engine ended.
-const NOTICED_MS: u64 = 11;
+/// Runs per attempt of a caller.
+const RUNS_PER_ATTEMPT: u32 = 2;
+/// Attempts per caller.
+const MAX_ATTEMPTS: u32 = 2;
+/// Time after the third crash in which instances may still learn of it.
+const PROPAGATION_MS: u64 = 3_000;
+/// Interval between the rounds in which messages are sent again.
+const ROUND_INTERVAL_MS: u64 = 100;
+/// Time from an engine's crash to its detection.
+const DETECTION_MS: u64 = 11;
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
-pub struct Crashes {
+pub struct CrashScenario {
     pub instances: usize,
     pub engines: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u32,
     pub adapters: usize,
-    /// Requests that end whatever begins them; they come again for as long as the play lasts.
+    /// Number of requests that crash every engine that starts them; they are retried until the simulation
+    /// ends.
     pub bad: usize,
-    /// Different requests of the others; none: each is another one.
+    /// Number of different bodies of the other requests; `None` if every request has its own.
     pub bodies: Option<usize>,
-    /// Engines that end for another reason: when, and how many together.
+    /// Crashes for another reason: the time, and the number of engines that crash together.
     pub outages: Vec<(u64, usize)>,
-    /// Part of the words that is lost.
-    pub loss: f64,
-    /// Time until an ended engine is back, in milliseconds.
-    pub down_ms: u64,
-    /// How long a run takes, in milliseconds.
-    pub takes_ms: Range<u64>,
+    /// Probability that a message is lost.
+    pub loss_probability: f64,
+    /// Time from an engine's crash to its restart, in milliseconds.
+    pub restart_ms: u64,
+    /// Duration of a run, in milliseconds.
+    pub duration_ms: Range<u64>,
     pub seconds: u64,
     pub seed: u64,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default)]
-pub struct Got {
-    /// Engines that ended under each bad request.
-    pub ended_under: Vec<usize>,
-    /// Engines that each bad request reached later than [`CONTACT_MS`] after its third had ended.
-    pub after_third: Vec<usize>,
-    /// Others that were refused though no engine ends under them.
-    pub wronged: usize,
+pub struct Outcome {
+    /// Number of crashes under each bad request.
+    pub crashes_under: Vec<usize>,
+    /// Number of engines that each bad request reached later than [`PROPAGATION_MS`] after its third crash.
+    pub reached_after_third: Vec<usize>,
+    /// Number of refused requests under which no engine crashes.
+    pub wrongly_refused: usize,
     pub served: usize,
-    /// Others that were on three ended engines or more, and of them those that were served.
-    pub cut_thrice: usize,
-    pub cut_thrice_served: usize,
+    /// Other requests that were on three crashed engines or more, and how many of them were served.
+    pub interrupted_thrice: usize,
+    pub interrupted_thrice_served: usize,
 }
 
 #[derive(Clone, Debug)]
@@ -74,58 +75,58 @@
     instance: usize,
     runs: u32,
     attempts: u32,
-    cuts: u32,
+    interruptions: u32,
     tried: Vec<usize>,
-    /// How long its run takes.
-    takes_ms: u64,
+    /// Duration of its run.
+    duration_ms: u64,
 }
 
 #[derive(Debug)]
 struct Run {
     request: Request,
     engine: usize,
-    began: Option<u64>,
-    sent: u64,
+    started_at: Option<u64>,
+    sent_at: u64,
     suspect: bool,
 }
 
 #[derive(Debug)]
 enum Event {
     Arrive(Box<Request>),
-    Begin(u64),
+    Start(u64),
     Finish(u64),
-    End(usize),
-    Back(usize),
-    Noticed {
+    Crash(usize),
+    Restart(usize),
+    CrashDetected {
         instance: usize,
-        life: u64,
-        cuts: Vec<CutRun>,
-        again: Vec<Request>,
+        incarnation: u64,
+        interrupted: Vec<InterruptedRun>,
+        retries: Vec<Request>,
     },
-    Word {
+    Message {
         to: usize,
-        word: Word,
+        message: QuarantineMessage,
     },
-    Judge(usize, Vec<Fingerprint>),
+    Evaluate(usize, Vec<Fingerprint>),
     Round(usize),
     Outage(usize),
 }
 
-struct Play {
-    cfg: Crashes,
+struct Simulation {
+    scenario: CrashScenario,
     rng: ChaCha8Rng,
     now: u64,
     count: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     instances: Vec<Quarantine>,
-    /// Life of each engine; none while it is down.
+    /// Incarnation of each engine; `None` while it is down.
     engines: Vec<Option<u64>>,
-    lives: u64,
+    last_incarnation: u64,
     runs: BTreeMap<u64, Run>,
-    /// When each bad request ended its third engine.
-    thirds: Vec<Option<u64>>,
-    got: Got,
+    /// When each bad request crashed its third engine.
+    third_crash_at: Vec<Option<u64>>,
+    outcome: Outcome,
 }
 
 fn engine_id(idx: usize) -> TargetId {
@@ -136,194 +137,204 @@
     at(ms)
 }
 
-impl Crashes {
-    pub fn play(self) -> Got {
-        let mut play = Play {
+impl CrashScenario {
+    pub fn run(self) -> Outcome {
+        let mut simulation = Simulation {
             rng: ChaCha8Rng::seed_from_u64(self.seed),
             now: 0,
             count: 0,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             instances: (0..self.instances).map(|_| Quarantine::default()).collect(),
-            engines: (0..self.engines).map(|life| Some(life as u64)).collect(),
-            lives: self.engines as u64,
+            engines: (0..self.engines)
+                .map(|incarnation| Some(incarnation as u64))
+                .collect(),
+            last_incarnation: self.engines as u64,
             runs: BTreeMap::new(),
-            thirds: vec![None; self.bad],
-            got: Got {
-                ended_under: vec![0; self.bad],
-                after_third: vec![0; self.bad],
-                ..Got::default()
+            third_crash_at: vec![None; self.bad],
+            outcome: Outcome {
+                crashes_under: vec![0; self.bad],
+                reached_after_third: vec![0; self.bad],
+                ..Outcome::default()
             },
-            cfg: self,
+            scenario: self,
         };
-        play.prepare();
-        play.run();
-        play.got
+        simulation.schedule_start();
+        simulation.run();
+        simulation.outcome
     }
 }
 
-impl Play {
-    fn prepare(&mut self) {
-        let requests = u64::from(self.cfg.rate) * self.cfg.seconds;
+impl Simulation {
+    fn schedule_start(&mut self) {
+        let requests = u64::from(self.scenario.rate) * self.scenario.seconds;
         for idx in 0..requests {
-            let at = self.rng.random_range(0..self.cfg.seconds * 1_000);
-            let body = match self.cfg.bodies {
+            let at = self.rng.random_range(0..self.scenario.seconds * 1_000);
+            let body = match self.scenario.bodies {
                 Some(bodies) => format!("common {}", self.rng.random_range(0..bodies)),
                 None => format!("own {idx}"),
             };
-            let request = self.request(&body, None);
-            self.push(at, Event::Arrive(Box::new(request)));
+            let request = self.new_request(&body, None);
+            self.schedule(at, Event::Arrive(Box::new(request)));
         }
-        for bad in 0..self.cfg.bad {
+        for bad in 0..self.scenario.bad {
             let at = self.rng.random_range(1_000..2_000);
-            let request = self.request(&format!("bad {bad}"), Some(bad));
-            self.push(at, Event::Arrive(Box::new(request)));
+            let request = self.new_request(&format!("bad {bad}"), Some(bad));
+            self.schedule(at, Event::Arrive(Box::new(request)));
         }
-        for (at, engines) in self.cfg.outages.clone() {
-            self.push(at, Event::Outage(engines));
+        for (at, engines) in self.scenario.outages.clone() {
+            self.schedule(at, Event::Outage(engines));
         }
-        for instance in 0..self.cfg.instances {
-            let at = self.rng.random_range(0..ROUND_MS);
-            self.push(at, Event::Round(instance));
+        for instance in 0..self.scenario.instances {
+            let at = self.rng.random_range(0..ROUND_INTERVAL_MS);
+            self.schedule(at, Event::Round(instance));
         }
     }
 
-    fn request(&mut self, body: &str, bad: Option<usize>) -> Request {
+    fn new_request(&mut self, body: &str, bad: Option<usize>) -> Request {
         let workspace = WorkspaceId::try_from("north").unwrap();
         Request {
             fingerprint: Fingerprint::of(Some(&workspace), "/draft/1", body.as_bytes()),
-            adapter: self.rng.random_range(0..self.cfg.adapters),
+            adapter: self.rng.random_range(0..self.scenario.adapters),
             bad,
-            instance: self.rng.random_range(0..self.cfg.instances),
+            instance: self.rng.random_range(0..self.scenario.instances),
             runs: 0,
             attempts: 1,
-            cuts: 0,
+            interruptions: 0,
             tried: Vec::new(),
-            takes_ms: self.rng.random_range(self.cfg.takes_ms.clone()),
+            duration_ms: self.rng.random_range(self.scenario.duration_ms.clone()),
         }
     }
 
-    fn push(&mut self, at: u64, event: Event) {
+    fn schedule(&mut self, at: u64, event: Event) {
         self.count += 1;
         self.queue.push(Reverse((at, self.count)));
         self.events.insert(self.count, event);
     }
 
     fn run(&mut self) {
-        let until = self.cfg.seconds * 1_000;
+        let until = self.scenario.seconds * 1_000;
         while let Some(Reverse((at, id))) = self.queue.pop() {
             if at > until {
                 return;
             }
             self.now = at;
             let event = self.events.remove(&id).unwrap();
-            self.take(event);
+            self.handle(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => self.send(*request),
-            Event::Begin(run) => self.begin(run),
+            Event::Start(run) => self.start(run),
             Event::Finish(run) => self.finish(run),
-            Event::End(engine) => self.end(engine),
-            Event::Back(engine) => {
-                self.lives += 1;
-                self.engines[engine] = Some(self.lives);
+            Event::Crash(engine) => self.crash(engine),
+            Event::Restart(engine) => {
+                self.last_incarnation += 1;
+                self.engines[engine] = Some(self.last_incarnation);
             }
-            Event::Noticed {
+            Event::CrashDetected {
                 instance,
-                life,
-                cuts,
-                again,
-            } => self.noticed(instance, life, cuts, again),
-            Event::Word { to, word } => {
-                self.instances[to].take(&word, time(self.now));
+                incarnation,
+                interrupted,
+                retries,
+            } => self.handle_detected_crash(instance, incarnation, interrupted, retries),
+            Event::Message { to, message } => {
+                self.instances[to].apply(&message, time(self.now));
             }
-            Event::Judge(instance, requests) => self.judge(instance, &requests),
+            Event::Evaluate(instance, requests) => self.evaluate(instance, &requests),
             Event::Round(instance) => {
-                let words = self.instances[instance].tell_round(Duration::from_millis(ROUND_MS));
-                self.tell(instance, &words);
-                self.push(self.now + ROUND_MS, Event::Round(instance));
+                let messages = self.instances[instance]
+                    .messages_for_round(Duration::from_millis(ROUND_INTERVAL_MS));
+                self.broadcast(instance, &messages);
+                self.schedule(self.now + ROUND_INTERVAL_MS, Event::Round(instance));
             }
             Event::Outage(engines) => {
-                let up = (0..self.cfg.engines).filter(|idx| self.engines[*idx].is_some());
-                let up = up.collect::<Vec<_>>();
-                let first = self.rng.random_range(0..up.len().max(1));
-                for idx in 0..engines.min(up.len()) {
-                    let engine = up[(first + idx) % up.len()];
+                let live_engines =
+                    (0..self.scenario.engines).filter(|idx| self.engines[*idx].is_some());
+                let live_engines = live_engines.collect::<Vec<_>>();
+                let first = self.rng.random_range(0..live_engines.len().max(1));
+                for idx in 0..engines.min(live_engines.len()) {
+                    let engine = live_engines[(first + idx) % live_engines.len()];
                     let at = self.now + self.rng.random_range(0..3);
-                    self.push(at, Event::End(engine));
+                    self.schedule(at, Event::Crash(engine));
                 }
             }
         }
     }
 
-    /// Sends a request to the engine that its adapter belongs to, suspects apart from each other.
+    /// Sends a request to the engine that is preferred for its adapter, suspects to separate engines.
     fn send(&mut self, request: Request) {
         let quarantine = &self.instances[request.instance];
-        if quarantine.refuses(request.fingerprint) {
-            self.refused(request);
+        if quarantine.is_refused(request.fingerprint) {
+            self.handle_refusal(request);
             return;
         }
-        let suspect = quarantine.suspicion(request.fingerprint) > 0;
-        let up = (0..self.cfg.engines).filter(|idx| self.engines[*idx].is_some());
-        let mut up = up
+        let suspect = quarantine.crash_count(request.fingerprint) > 0;
+        let live_engines = (0..self.scenario.engines).filter(|idx| self.engines[*idx].is_some());
+        let mut live_engines = live_engines
             .filter(|idx| !request.tried.contains(idx))
             .collect::<Vec<_>>();
         if suspect {
-            let own = self.runs.values();
-            let own = own.filter(|run| run.request.instance == request.instance && run.suspect);
-            let taken = own.map(|run| run.engine).collect::<Vec<_>>();
-            let apart = |idx: &usize| {
-                !taken.contains(idx) && quarantine.is_apart(request.fingerprint, &engine_id(*idx))
+            let local = self.runs.values();
+            let local = local.filter(|run| run.request.instance == request.instance && run.suspect);
+            let taken = local.map(|run| run.engine).collect::<Vec<_>>();
+            let is_permitted = |idx: &usize| {
+                !taken.contains(idx)
+                    && quarantine.is_in_suspect_partition(request.fingerprint, &engine_id(*idx))
             };
-            let free = up.iter().copied().filter(apart).collect::<Vec<_>>();
-            if !free.is_empty() {
-                up = free;
+            let permitted = live_engines
+                .iter()
+                .copied()
+                .filter(is_permitted)
+                .collect::<Vec<_>>();
+            if !permitted.is_empty() {
+                live_engines = permitted;
             }
         }
         let key = request.adapter as u64;
-        let best = up.into_iter();
+        let best = live_engines.into_iter();
         let Some(engine) = best.max_by_key(|idx| weight(key, &format!("e{idx}"))) else {
-            self.again(request);
+            self.retry_by_caller(request);
             return;
         };
         self.count += 1;
         let run = self.count;
         let wait = self.rng.random_range(5..400);
-        self.push(self.now + wait, Event::Begin(run));
+        self.schedule(self.now + wait, Event::Start(run));
         if let Some(bad) = request.bad
-            && self.thirds[bad].is_some_and(|third| self.now > third + CONTACT_MS)
+            && self.third_crash_at[bad]
+                .is_some_and(|third_crash| self.now > third_crash + PROPAGATION_MS)
         {
-            self.got.after_third[bad] += 1;
+            self.outcome.reached_after_third[bad] += 1;
         }
-        let run_of = Run {
+        let new_run = Run {
             request,
             engine,
-            began: None,
-            sent: self.now,
+            started_at: None,
+            sent_at: self.now,
             suspect,
         };
-        self.runs.insert(run, run_of);
+        self.runs.insert(run, new_run);
     }
 
-    fn begin(&mut self, id: u64) {
+    fn start(&mut self, id: u64) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
-        run.began = Some(self.now);
+        run.started_at = Some(self.now);
         let engine = run.engine;
-        let takes = run.request.takes_ms;
+        let duration_ms = run.request.duration_ms;
         if let Some(bad) = run.request.bad {
-            self.got.ended_under[bad] += 1;
-            if self.got.ended_under[bad] == 3 {
-                self.thirds[bad] = Some(self.now);
+            self.outcome.crashes_under[bad] += 1;
+            if self.outcome.crashes_under[bad] == 3 {
+                self.third_crash_at[bad] = Some(self.now);
             }
             let after = self.rng.random_range(5..70);
-            self.push(self.now + after, Event::End(engine));
+            self.schedule(self.now + after, Event::Crash(engine));
         } else {
-            self.push(self.now + takes, Event::Finish(id));
+            self.schedule(self.now + duration_ms, Event::Finish(id));
         }
     }
 
@@ -332,114 +343,129 @@
             return;
         };
         let request = run.request;
-        self.got.served += 1;
-        if request.cuts >= 3 {
-            self.got.cut_thrice_served += 1;
+        self.outcome.served += 1;
+        if request.interruptions >= 3 {
+            self.outcome.interrupted_thrice_served += 1;
         }
         let now = time(self.now);
-        let word = self.instances[request.instance].served(request.fingerprint, now);
-        if let Some(word) = word {
-            self.tell_anew(request.instance, vec![word]);
+        let message = self.instances[request.instance].record_served(request.fingerprint, now);
+        if let Some(message) = message {
+            self.broadcast_and_resend(request.instance, vec![message]);
         }
     }
 
-    fn end(&mut self, engine: usize) {
-        let Some(life) = self.engines[engine].take() else {
+    fn crash(&mut self, engine: usize) {
+        let Some(incarnation) = self.engines[engine].take() else {
             return;
         };
-        self.push(self.now + self.cfg.down_ms, Event::Back(engine));
-        let here = self.runs.iter().filter(|(_, run)| run.engine == engine);
-        let here = here.map(|(id, _)| *id).collect::<Vec<_>>();
-        let mut by_instance = BTreeMap::<usize, (Vec<CutRun>, Vec<Request>)>::new();
-        for id in here {
+        self.schedule(self.now + self.scenario.restart_ms, Event::Restart(engine));
+        let running = self.runs.iter().filter(|(_, run)| run.engine == engine);
+        let running = running.map(|(id, _)| *id).collect::<Vec<_>>();
+        let mut by_instance = BTreeMap::<usize, (Vec<InterruptedRun>, Vec<Request>)>::new();
+        for id in running {
             let run = self.runs.remove(&id).unwrap();
-            let ran = self.now - run.began.unwrap_or(run.sent);
+            let run_ms = self.now - run.started_at.unwrap_or(run.sent_at);
             let mut request = run.request;
-            request.cuts += 1;
-            if request.bad.is_none() && request.cuts == 3 {
-                self.got.cut_thrice += 1;
+            request.interruptions += 1;
+            if request.bad.is_none() && request.interruptions == 3 {
+                self.outcome.interrupted_thrice += 1;
             }
             request.tried.push(engine);
             request.runs += 1;
-            let (cuts, again) = by_instance.entry(request.instance).or_default();
-            cuts.push(CutRun::new(request.fingerprint, Duration::from_millis(ran)));
-            again.push(request);
+            let (interrupted, retries) = by_instance.entry(request.instance).or_default();
+            interrupted.push(InterruptedRun::new(
+                request.fingerprint,
+                Duration::from_millis(run_ms),
+            ));
+            retries.push(request);
         }
-        for (instance, (cuts, again)) in by_instance {
-            let at = self.now + NOTICED_MS + self.rng.random_range(0..4);
-            let event = Event::Noticed {
+        for (instance, (interrupted, retries)) in by_instance {
+            let at = self.now + DETECTION_MS + self.rng.random_range(0..4);
+            let event = Event::CrashDetected {
                 instance,
-                life,
-                cuts,
-                again,
+                incarnation,
+                interrupted,
+                retries,
             };
-            self.push(at, event);
+            self.schedule(at, event);
         }
     }
 
-    fn noticed(&mut self, instance: usize, life: u64, cuts: Vec<CutRun>, again: Vec<Request>) {
-        let ended = Ended {
-            life: ShortHash::of(&format!("life {life}")),
+    fn handle_detected_crash(
+        &mut self,
+        instance: usize,
+        incarnation: u64,
+        interrupted: Vec<InterruptedRun>,
+        retries: Vec<Request>,
+    ) {
+        let crash = Crash {
+            incarnation: ShortHash::of(&format!("life {incarnation}")),
             targets: u32::try_from(1 + self.engines.iter().flatten().count()).unwrap(),
-            age_ms: u32::try_from(NOTICED_MS).unwrap(),
-            cuts,
+            age_ms: u32::try_from(DETECTION_MS).unwrap(),
+            interrupted,
         };
-        let requests = ended.cuts.iter().map(|cut| cut.request).collect();
-        let words = self.instances[instance].ended(&ended, time(self.now));
-        self.tell_anew(instance, words);
-        let judged = self.now + u64::try_from(JUDGED_AFTER.as_millis()).unwrap();
-        self.push(judged, Event::Judge(instance, requests));
-        for request in again {
-            if request.runs >= RUNS {
-                self.again(request);
-            } else if self.instances[instance].suspicion(request.fingerprint) > 1 {
-                self.push(judged, Event::Arrive(Box::new(request)));
+        let requests = crash.interrupted.iter().map(|run| run.request).collect();
+        let messages = self.instances[instance].record_crash(&crash, time(self.now));
+        self.broadcast_and_resend(instance, messages);
+        let evaluate_at = self.now + u64::try_from(EVALUATION_DELAY.as_millis()).unwrap();
+        self.schedule(evaluate_at, Event::Evaluate(instance, requests));
+        for request in retries {
+            if request.runs >= RUNS_PER_ATTEMPT {
+                self.retry_by_caller(request);
+            } else if self.instances[instance].crash_count(request.fingerprint) > 1 {
+                self.schedule(evaluate_at, Event::Arrive(Box::new(request)));
             } else {
                 self.send(request);
             }
         }
     }
 
-    fn judge(&mut self, instance: usize, requests: &[Fingerprint]) {
-        let refused = self.instances[instance].judge(requests, time(self.now));
-        self.tell_anew(instance, refused.into_iter().map(Word::Decided).collect());
+    fn evaluate(&mut self, instance: usize, requests: &[Fingerprint]) {
+        let refused = self.instances[instance].evaluate(requests, time(self.now));
+        self.broadcast_and_resend(
+            instance,
+            refused
+                .into_iter()
+                .map(QuarantineMessage::Decided)
+                .collect(),
+        );
     }
 
-    fn refused(&mut self, request: Request) {
+    fn handle_refusal(&mut self, request: Request) {
         if request.bad.is_none() {
-            self.got.wronged += 1;
+            self.outcome.wrongly_refused += 1;
             return;
         }
-        self.again(request);
+        self.retry_by_caller(request);
     }
 
-    /// The caller comes back, at any instance.
-    fn again(&mut self, mut request: Request) {
-        if request.bad.is_none() && request.attempts >= ATTEMPTS {
+    /// Lets the caller retry at a random instance.
+    fn retry_by_caller(&mut self, mut request: Request) {
+        if request.bad.is_none() && request.attempts >= MAX_ATTEMPTS {
             return;
         }
         request.attempts += 1;
         request.runs = 0;
         request.tried.clear();
-        request.instance = self.rng.random_range(0..self.cfg.instances);
-        let pause = self.rng.random_range(20..500);
-        self.push(self.now + pause, Event::Arrive(Box::new(request)));
+        request.instance = self.rng.random_range(0..self.scenario.instances);
+        let backoff = self.rng.random_range(20..500);
+        self.schedule(self.now + backoff, Event::Arrive(Box::new(request)));
     }
 
-    fn tell_anew(&mut self, from: usize, words: Vec<Word>) {
-        self.tell(from, &words);
-        self.instances[from].tell_again(words);
+    fn broadcast_and_resend(&mut self, from: usize, messages: Vec<QuarantineMessage>) {
+        self.broadcast(from, &messages);
+        self.instances[from].queue_resend(messages);
     }
 
-    fn tell(&mut self, from: usize, words: &[Word]) {
-        for word in words {
-            for to in (0..self.cfg.instances).filter(|to| *to != from) {
-                if self.rng.random_bool(self.cfg.loss) {
+    fn broadcast(&mut self, from: usize, messages: &[QuarantineMessage]) {
+        for message in messages {
+            for to in (0..self.scenario.instances).filter(|to| *to != from) {
+                if self.rng.random_bool(self.scenario.loss_probability) {
                     continue;
                 }
                 let at = self.now + self.rng.random_range(2..30);
-                let word = word.clone();
-                self.push(at, Event::Word { to, word });
+                let message = message.clone();
+                self.schedule(at, Event::Message { to, message });
             }
         }
     }
--- a/crates/gateway/tests/support/desk.rs
+++ b/crates/gateway/tests/support/desk.rs
@@ -215,8 +215,8 @@
 
     fn place(&mut self, mut request: Request, now: Time) {
         let asked = Call {
-            prompt: Tokens(self.desk.prompt),
-            patience: Some(PATIENCE),
+            prompt_tokens: Tokens(self.desk.prompt),
+            timeout: Some(PATIENCE),
             wanted: Some(bluebellstage_gateway::decide::adapter::Wanted::Adapter(
                 request.key.clone(),
             )),
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -13,7 +13,7 @@
 use bluebellstage_gateway::decide::config::Quota;
 use bluebellstage_gateway::decide::exchange::{Message, ROUND};
 use bluebellstage_gateway::decide::peers::{Member, Strength};
-use bluebellstage_gateway::decide::quota::{Charged, Sharing};
+use bluebellstage_gateway::decide::quota::{ChargeOutcome, PeerVisibility};
 use bluebellstage_gateway::decide::rendezvous::ShortHash;
 use bluebellstage_gateway::decide::retry_budget::RetryBudget;
 use bluebellstage_gateway::decide::status::Role;
@@ -294,14 +294,14 @@
     /// Asks an instance for a charge, as a request would; false if it is refused.
     pub fn charge(&mut self, idx: usize, limit: Quota, units: u64) -> bool {
         let tables = &mut self.nodes[idx].tables;
-        let sharing = Sharing {
-            silent: tables.unheard_share(self.now),
-            lag: tables.news_age(self.now),
+        let sharing = PeerVisibility {
+            silent_fraction: tables.unheard_share(self.now),
+            staleness: tables.news_age(self.now),
         };
         let quotas = &mut tables.quotas;
         let pause = Duration::ZERO;
         let charged = quotas.charge(&workspace(), limit, units, sharing, pause, self.now);
-        charged == Charged::Within
+        charged == ChargeOutcome::Accepted
     }
 
     /// Spends on an instance, whatever the quota says.
@@ -311,11 +311,11 @@
             &workspace(),
             wide,
             units,
-            Sharing::default(),
+            PeerVisibility::default(),
             Duration::ZERO,
             self.now,
         );
-        assert_eq!(charged, Charged::Within);
+        assert_eq!(charged, ChargeOutcome::Accepted);
     }
 
     /// What an instance believes to be left of the workspace's quota.
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -161,12 +161,12 @@
         id: "r1".into(),
         host: "office".into(),
         path: path.into(),
-        patience: Some(Duration::from_secs(5)),
+        timeout: Some(Duration::from_secs(5)),
         key: key.map(Into::into),
         wanted: None,
         tokens: None,
-        prompt: Tokens(0),
-        prompt_start: None,
+        prompt_tokens: Tokens(0),
+        prompt_prefix: None,
         resume_after: None,
     }
 }
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bluebellstage_core::Revision;
-use bluebellstage_gateway::decide::call::{AnswerHead, Call, Forward};
+use bluebellstage_gateway::decide::call::{Call, Forward, ResponseHead};
 use bluebellstage_gateway::decide::loader::{Order, OrderAnswer, Report};
 use bluebellstage_gateway::decide::peers::Member;
 use bluebellstage_gateway::decide::target::Target;
@@ -217,7 +217,7 @@
         unreachable!("nobody calls")
     }
 
-    fn answer_head(&self, _head: &response::Parts) -> AnswerHead {
+    fn answer_head(&self, _head: &response::Parts) -> ResponseHead {
         unreachable!("no target is called")
     }
 
