--- a/crates/gateway/src/decide/exchange/message.rs
+++ b/crates/gateway/src/decide/exchange/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::limits::LimitWord;
+use crate::decide::limits::LimitReport;
 use crate::decide::peers::Member;
 use crate::decide::relay_update::{RelayUpdate, Roster};
 use crate::decide::rendezvous::ShortHash;
@@ -29,7 +29,7 @@
     /// The roster to which the sender's updates refer.
     Roster(Roster),
     /// Limits that targets reported.
-    Limits(Vec<LimitWord>),
+    Limits(Vec<LimitReport>),
     /// Registration of an instance.
     MemberInfo(Box<Member>),
     /// Requests the sender's registration, after a message from an unknown instance.
--- a/crates/gateway/src/decide/exchange/mod.rs
+++ b/crates/gateway/src/decide/exchange/mod.rs
@@ -143,7 +143,7 @@
         let relayed = self.is_relayed(now);
         let has_slot = relayed && is_warm && self.claim_relay_slot(now);
         if has_slot && self.exchange.slot_since.is_none() && self.peers.view().is_some() {
-            self.quotas.forget_peers();
+            self.quotas.reset_peer_baselines();
         }
         self.exchange.update_role(has_slot, now);
         if self.exchange.role != Role::Relay {
@@ -230,7 +230,7 @@
 
     fn next_status(&mut self, ended: bool, now: Time) -> Status {
         self.exchange.seq += 1;
-        let spent = self.quotas.tell_spent(SPENDING_TTL, now);
+        let spent = self.quotas.take_spend_reports(SPENDING_TTL, now);
         let loads = self.local_loads();
         Status {
             from: ShortHash::of(self.local.name.as_str()),
--- a/crates/gateway/src/decide/exchange/receive.rs
+++ b/crates/gateway/src/decide/exchange/receive.rs
@@ -161,7 +161,7 @@
             uptime < NEW_PEER_PERIOD && uptime <= now.since(self.started) + MAX_START_SKEW;
         for spent in &status.spent {
             let incarnation = member.incarnation;
-            self.quotas.heard(
+            self.quotas.record_peer_spending(
                 &member.name,
                 incarnation,
                 *spent,
@@ -204,7 +204,7 @@
         let lag = Duration::from_millis(u64::from(update.lag_ms));
         let is_first = self.peers.view().is_none();
         for (workspace, remaining) in update.remaining.iter().filter(|_| is_first) {
-            self.quotas.set_left(*workspace, *remaining);
+            self.quotas.set_remaining(*workspace, *remaining);
         }
         self.apply_sums(name, &update.relay, update.loads, &update.spent, lag, now);
         if self.exchange.role != Role::Subscriber {
@@ -250,13 +250,14 @@
         match before {
             // Spending between the last update of one relay and the first of the next is in
             // neither.
-            Some((former, at)) if former != name => self.quotas.missed(now.since(at), now),
+            Some((former, at)) if former != name => self.quotas.extrapolate(now.since(at), now),
             Some(_) => {}
-            None => self.quotas.forget_peers(),
+            None => self.quotas.reset_peer_baselines(),
         }
         for (workspace, count) in spent {
             let from = (relay.from, relay.incarnation);
-            self.quotas.heard_sum(from, *workspace, *count, now);
+            self.quotas
+                .record_relay_count(from, *workspace, *count, now);
         }
         let targets = self.registry.target_hashes().collect::<Vec<_>>();
         if let Some(loads) = loads.unpack(&targets, self.registry.digest()) {
--- a/crates/gateway/src/decide/exchange/updates.rs
+++ b/crates/gateway/src/decide/exchange/updates.rs
@@ -54,7 +54,7 @@
                 loads,
                 spent: self.quotas.spent_by_others(&name, span, now).collect(),
                 remaining: if subscriber.wants_all {
-                    self.quotas.left().collect()
+                    self.quotas.remaining().collect()
                 } else {
                     Vec::new()
                 },
--- a/crates/gateway/src/decide/picking.rs
+++ b/crates/gateway/src/decide/picking.rs
@@ -39,7 +39,7 @@
         if self.limits.is_empty() {
             return self.pick_ignoring_limits(ticket, call, tried, sample, now);
         }
-        let limited = self.limits.all().map(|(target, _)| target);
+        let limited = self.limits.iter().map(|(target, _)| target);
         let of_service = |target: &&TargetId| {
             let known = self.registry.get(target);
             known.is_some_and(|known| known.service == ticket.service)
@@ -48,7 +48,7 @@
         if limited.is_empty() {
             return self.pick_ignoring_limits(ticket, call, tried, sample, now);
         }
-        let limit_is_current = |target: &&TargetId| !self.limits.may_be_over(target, now);
+        let limit_is_current = |target: &&TargetId| !self.limits.may_be_lifted(target, now);
         let mut excluded = tried.to_vec();
         excluded.extend(limited.iter().filter(limit_is_current).cloned());
         let first = self.pick_within_limits(ticket, call, &mut excluded, sample, now);
@@ -110,12 +110,12 @@
                     target,
                     in_flight: local + others.requests,
                     queue_wait: self.queues.reading_time(&target.id, prompts),
-                    prompt_time: self.queues.reading_time(&target.id, call.prompt.0),
+                    prompt_time: self.queues.reading_time(&target.id, call.prompt_tokens.0),
                     recent_max_wait: self.queues.recent_max_wait(&target.id, now),
                     can_connect: local < limit,
                     // An adapter loaded on a target with a low limit would serve few requests.
                     can_load: self.loader_reachable(&target.id, now)
-                        && self.limits.of(&target.id).is_none(),
+                        && self.limits.get(&target.id).is_none(),
                     adapter_slots: self.adapter_slots(&target.id, now),
                 }
             })
@@ -133,7 +133,7 @@
         };
         let pick = match &call.wanted {
             Some(wanted) if is_engine(config, &ticket.service) => {
-                pick_engine(&candidates, wanted, call.prompt_start, &cx)
+                pick_engine(&candidates, wanted, call.prompt_prefix, &cx)
             }
             _ => pick_plain(&candidates, &cx),
         };
@@ -158,10 +158,11 @@
         sample: f64,
         now: Time,
     ) -> Pick {
-        if self.quarantine.suspicion(request) > 0 {
+        if self.quarantine.crash_count(request) > 0 {
             let targets = self.registry.all().map(|target| &target.id);
             let others = targets.filter(|id| {
-                self.suspects_at.contains_key(*id) || !self.quarantine.is_apart(request, id)
+                self.suspects_at.contains_key(*id)
+                    || !self.quarantine.is_in_suspect_partition(request, id)
             });
             let excluded = tried.iter().chain(others).cloned().collect::<Vec<_>>();
             let pick = self.pick(ticket, call, &excluded, sample, now);
--- a/crates/gateway/src/decide/status.rs
+++ b/crates/gateway/src/decide/status.rs
@@ -5,7 +5,7 @@
 
 use super::loader::AdapterSlots;
 use super::peers::Load;
-use super::quota::SpentWord;
+use super::quota::SpendReport;
 use super::rendezvous::ShortHash;
 
 /// Part that an instance plays in relaying updates.
@@ -75,7 +75,7 @@
     /// Digest of the quarantine decisions that it knows; zero if there are none.
     pub quarantine_digest: u64,
     /// What workspaces have spent on it since it started, where that changed recently.
-    pub spent: Vec<SpentWord>,
+    pub spent: Vec<SpendReport>,
     /// Its load at each target.
     pub in_flight: Vec<(ShortHash, Load)>,
     /// Loads from the weight store in progress.
--- a/crates/gateway/src/decide/tables.rs
+++ b/crates/gateway/src/decide/tables.rs
@@ -18,7 +18,7 @@
 use super::picking::LOAD_TARGET_TTL;
 use super::prompt_queues::{PromptQueues, WaitingKey};
 use super::quarantine::Quarantine;
-use super::quota::{Charged, Quotas, Sharing};
+use super::quota::{ChargeOutcome, PeerVisibility, Quotas};
 pub use super::refusal::Refusal;
 use super::registry::Registry;
 use super::rendezvous::{ShortHash, name_hash};
@@ -215,9 +215,9 @@
             && let Some(quota) = workspace.quota
         {
             charge = quota.unit.charge(call.tokens);
-            let sharing = Sharing {
-                silent: self.unknown_spending_fraction(now),
-                lag: self.update_age(now),
+            let sharing = PeerVisibility {
+                silent_fraction: self.unknown_spending_fraction(now),
+                staleness: self.update_age(now),
             };
             let max_quota_wait = routes
                 .route(route)
@@ -226,20 +226,23 @@
             let name = &workspace.name;
             let quotas = &mut self.quotas;
             match quotas.charge(name, quota, charge, sharing, max_quota_wait, now) {
-                Charged::Within => {}
-                Charged::After(wait) => quota_wait = wait,
-                Charged::Over { retry_after, left } => {
+                ChargeOutcome::Accepted => {}
+                ChargeOutcome::AcceptedAfter(wait) => quota_wait = wait,
+                ChargeOutcome::Rejected {
+                    retry_after,
+                    remaining,
+                } => {
                     return Err(Refusal::OverQuota {
                         workspace: name.clone(),
                         retry_after: retry_after.min(MAX_RETRY_AFTER),
-                        left,
+                        remaining,
                         charge,
                         rate: quota.rate,
                     });
                 }
             }
         }
-        self.retries.request(service, now);
+        self.retries.record_request(service, now);
         let rank = workspace.and_then(|workspace| workspace.rank);
         Ok(Ticket {
             service: service.clone(),
@@ -255,7 +258,7 @@
     /// Refunds the charge of a request that did not run.
     pub fn refund(&mut self, ticket: &Ticket) {
         if let Some(workspace) = &ticket.workspace {
-            self.quotas.give_back(workspace, ticket.charge);
+            self.quotas.refund(workspace, ticket.charge);
         }
     }
 
@@ -274,7 +277,7 @@
     /// Takes one retry out of the service's budget. Returns false if the budget is used up.
     pub fn take_retry(&mut self, service: &ServiceId, now: Time) -> bool {
         let sharing = self.peers.sharing_count(now);
-        self.retries.take(service, self.budget, sharing, now)
+        self.retries.take_retry(service, self.budget, sharing, now)
     }
 
     /// Returns the number of requests of this instance at a target.
@@ -298,7 +301,7 @@
     pub fn record_prompt(&mut self, target: &TargetId, call: &Call, now: Time) -> WaitingKey {
         let others = self.peers.load(ShortHash::of(target.as_str())).prompts;
         self.queues
-            .record_sent(target, call.prompt.0, u64::from(others), now)
+            .record_sent(target, call.prompt_tokens.0, u64::from(others), now)
     }
 
     /// Records that a request is sent to a target.
@@ -340,7 +343,10 @@
         let registry = &self.registry;
         self.health
             .retain_targets(|target| registry.get(target).is_some());
-        for target in self.limits.forget(|target| registry.get(target).is_none()) {
+        for target in self
+            .limits
+            .remove_gone(|target| registry.get(target).is_none())
+        {
             self.quotas.close(&target);
         }
         self.residency
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -14,7 +14,7 @@
 use bluebellstage_gateway::decide::config::Quota;
 use bluebellstage_gateway::decide::exchange::{Message, ROUND_INTERVAL};
 use bluebellstage_gateway::decide::peers::{Member, Strength};
-use bluebellstage_gateway::decide::quota::{Charged, Sharing};
+use bluebellstage_gateway::decide::quota::{ChargeOutcome, PeerVisibility};
 use bluebellstage_gateway::decide::rendezvous::ShortHash;
 use bluebellstage_gateway::decide::retry_budget::RetryBudget;
 use bluebellstage_gateway::decide::status::Role;
@@ -299,14 +299,14 @@
     /// Charges a request on an instance. Returns false if it is rejected.
     pub fn charge(&mut self, idx: usize, limit: Quota, units: u64) -> bool {
         let tables = &mut self.nodes[idx].tables;
-        let sharing = Sharing {
-            silent: tables.unknown_spending_fraction(self.now),
-            lag: tables.update_age(self.now),
+        let sharing = PeerVisibility {
+            silent_fraction: tables.unknown_spending_fraction(self.now),
+            staleness: tables.update_age(self.now),
         };
         let quotas = &mut tables.quotas;
         let max_wait = Duration::ZERO;
         let charged = quotas.charge(&workspace(), limit, units, sharing, max_wait, self.now);
-        charged == Charged::Within
+        charged == ChargeOutcome::Accepted
     }
 
     /// Spends units on an instance regardless of the quota.
@@ -316,11 +316,11 @@
             &workspace(),
             large_quota,
             units,
-            Sharing::default(),
+            PeerVisibility::default(),
             Duration::ZERO,
             self.now,
         );
-        assert_eq!(charged, Charged::Within);
+        assert_eq!(charged, ChargeOutcome::Accepted);
     }
 
     /// What remains of the workspace's quota from the instance's point of view.
--- a/crates/gateway/tests/support/load_simulation.rs
+++ b/crates/gateway/tests/support/load_simulation.rs
@@ -217,8 +217,8 @@
 
     fn place_request(&mut self, mut request: Request, now: Time) {
         let request_call = Call {
-            prompt: Tokens(self.scenario.prompt_tokens),
-            patience: Some(CALLER_TIMEOUT),
+            prompt_tokens: Tokens(self.scenario.prompt_tokens),
+            timeout: Some(CALLER_TIMEOUT),
             wanted: Some(
                 bluebellstage_gateway::decide::adapter::RequestedModel::Adapter(
                     request.key.clone(),
