--- a/crates/gateway/src/decide/loader/adapter_state.rs
+++ b/crates/gateway/src/decide/loader/adapter_state.rs
@@ -49,8 +49,8 @@
     pub(super) usable_from: Time,
     /// Whether an unload waits for the requests that run on it.
     pub(super) unloading: bool,
-    /// Recency rank of the host-memory copy that it is assumed to be loaded from; `None` once that
-    /// is confirmed or disproved.
+    /// Recency rank of the host-memory copy that it is assumed to be loaded from. `None` if it came
+    /// from elsewhere, or once the assumption is confirmed or disproved.
     pub(super) assumed_copy_rank: Option<usize>,
 }
 
--- a/crates/gateway/src/decide/prompt_queues.rs
+++ b/crates/gateway/src/decide/prompt_queues.rs
@@ -53,7 +53,7 @@
     tokens: u64,
     /// Tokens queued before it, plus its own.
     queued_tokens: u64,
-    since: Time,
+    sent_at: Time,
 }
 
 #[derive(Debug, Default)]
@@ -95,7 +95,7 @@
             target: target.clone(),
             tokens,
             queued_tokens: queue.local_tokens + others,
-            since: now,
+            sent_at: now,
         })
     }
 
@@ -104,7 +104,7 @@
         let Some(waiting) = self.take(key) else {
             return;
         };
-        let elapsed = now.since(waiting.since);
+        let elapsed = now.since(waiting.sent_at);
         let Some(queue) = self.queues.get_mut(&waiting.target) else {
             return;
         };
@@ -146,9 +146,9 @@
     /// known.
     #[must_use]
     pub fn reading_time(&self, target: &TargetId, tokens: u64) -> Duration {
-        let local_tokens = self.queues.get(target).map(|queue| &queue.rate);
-        let local_tokens = local_tokens.filter(|rate| rate.outcomes >= MIN_OUTCOMES);
-        let tokens_per_second = local_tokens
+        let engine_rate = self.queues.get(target).map(|queue| &queue.rate);
+        let engine_rate = engine_rate.filter(|rate| rate.outcomes >= MIN_OUTCOMES);
+        let tokens_per_second = engine_rate
             .unwrap_or(&self.overall_rate)
             .tokens_per_second();
         tokens_per_second.map_or(Duration::ZERO, |tokens_per_second| {
@@ -176,7 +176,7 @@
             .waiting
             .values()
             .filter(|waiting| waiting.target == *target);
-        let ages = at_target.map(|waiting| now.since(waiting.since));
+        let ages = at_target.map(|waiting| now.since(waiting.sent_at));
         ages.max().unwrap_or(Duration::ZERO)
     }
 
