--- a/crates/gateway/src/decide/registry.rs
+++ b/crates/gateway/src/decide/registry.rs
@@ -22,10 +22,10 @@
 const RETURN_GRACE: Duration = Duration::from_millis(1_800);
 /// Shortest outage in which a registration can expire. Targets report every 1.2 s and expire after
 /// three missing reports, the first of which may have been due when the outage began.
-const MIN_LAPSE_OUTAGE: Duration = Duration::from_millis(2_300);
+const MIN_EXPIRY_OUTAGE: Duration = Duration::from_millis(2_300);
 /// Time after a failed call for which the store counts as unavailable. The longest delay between
 /// two calls is 1 s, and a response takes up to 1.2 s.
-const AWAY_PERIOD: Duration = Duration::from_millis(2_200);
+const UNAVAILABLE_PERIOD: Duration = Duration::from_millis(2_200);
 
 /// Maximum time between two responses to a follower. Targets report every 1.2 s, and a follower
 /// waits 0.8 s between calls.
@@ -69,7 +69,7 @@
     /// A copy of changes did not result in the sender's list, so the next copy must be complete.
     diverged: bool,
     revision: Revision,
-    away_until: Time,
+    unavailable_until: Time,
     /// The last call to the store failed.
     last_call_failed: bool,
     /// Set while the first response after an outage is applied: the time until which vanished
@@ -88,7 +88,7 @@
 
     /// Records that a call to the store failed.
     pub fn record_store_failure(&mut self, now: Time) {
-        self.away_until = now + AWAY_PERIOD;
+        self.unavailable_until = now + UNAVAILABLE_PERIOD;
         self.last_call_failed = true;
         self.grace_until = None;
     }
@@ -113,9 +113,9 @@
             .followed_since
             .unwrap_or_default()
             .max(self.last_response);
-        let can_lapse =
-            std::mem::take(&mut self.last_call_failed) && now.since(before) >= MIN_LAPSE_OUTAGE;
-        self.grace_until = can_lapse.then(|| now + RETURN_GRACE);
+        let can_expire =
+            std::mem::take(&mut self.last_call_failed) && now.since(before) >= MIN_EXPIRY_OUTAGE;
+        self.grace_until = can_expire.then(|| now + RETURN_GRACE);
         self.last_response = now;
     }
 
@@ -128,13 +128,13 @@
     pub fn is_store_reachable(&self, now: Time) -> bool {
         let is_timed_out =
             |since: Time| now.since(since.max(self.last_response)) > FOLLOWER_TIMEOUT;
-        !self.is_store_away(now) && !self.followed_since.is_some_and(is_timed_out)
+        !self.is_store_unavailable(now) && !self.followed_since.is_some_and(is_timed_out)
     }
 
     /// Whether a call to the store failed recently.
     #[must_use]
-    pub fn is_store_away(&self, now: Time) -> bool {
-        now < self.away_until
+    pub fn is_store_unavailable(&self, now: Time) -> bool {
+        now < self.unavailable_until
     }
 
     /// Replaces all targets by a full list.
--- a/crates/gateway/tests/store_outage.rs
+++ b/crates/gateway/tests/store_outage.rs
@@ -14,7 +14,7 @@
 /// Time after the store's recovery for which no bound holds.
 const BOUNDS_SUSPENDED: Duration = Duration::from_secs(3);
 /// Time in which the other instances copy what a follower has received.
-const COPY_TIMEOUT: Duration = Duration::from_secs(1);
+const COPY_TIME: Duration = Duration::from_secs(1);
 /// Time from an announcement within which requests may still start on an older version, as counted
 /// by an instance that receives the announcement.
 const OLD_VERSION_GRACE: Duration = Duration::from_millis(3_800);
@@ -78,7 +78,7 @@
         // Two seconds, from when bounds hold again.
         _ => BOUNDS_SUSPENDED + Duration::from_secs(2),
     };
-    bound.saturating_sub(COPY_TIMEOUT)
+    bound.saturating_sub(COPY_TIME)
 }
 
 /// Returns the outages after which the change arrived too late, with its delay.
