--- a/crates/core/tests/membership_rules.rs
+++ b/crates/core/tests/membership_rules.rs
@@ -296,62 +296,62 @@
         member_ref: member_ref("b"),
         map: Revision(4),
     });
-    let json = serde_json::to_value(&ownership).expect("ownership is serialisable");
-    insta::assert_json_snapshot!(json, @r#"
+    insta::assert_json_snapshot!(ownership, @r#"
     {
-      "adopted": [
-        {
-          "life": {
-            "id": "b",
-            "incarnation": 98
-          },
-          "map": 4
-        }
-      ],
+      "me": {
+        "id": "a",
+        "incarnation": 97
+      },
       "map": {
-        "history": [],
+        "revision": 5,
+        "terms": {
+          "grouping": "failure_domain",
+          "standing": {
+            "secs": 2,
+            "nanos": 0
+          },
+          "drift": {
+            "secs": 0,
+            "nanos": 50000000
+          }
+        },
         "members": [
           {
-            "caller_address": "127.0.0.1:7000",
-            "failure_domain": "d",
             "id": "a",
             "incarnation": 97,
+            "failure_domain": "d",
+            "caller_address": "127.0.0.1:7000",
             "peer_address": "127.0.0.1:8000",
             "state": "active"
           },
           {
-            "caller_address": "127.0.0.1:7000",
-            "failure_domain": "d",
             "id": "b",
             "incarnation": 98,
+            "failure_domain": "d",
+            "caller_address": "127.0.0.1:7000",
             "peer_address": "127.0.0.1:8000",
             "state": "active"
           }
         ],
-        "revision": 5,
-        "terms": {
-          "drift": {
-            "nanos": 50000000,
-            "secs": 0
+        "history": []
+      },
+      "standing_until": 7000,
+      "adopted": [
+        {
+          "life": {
+            "id": "b",
+            "incarnation": 98
           },
-          "grouping": "failure_domain",
-          "standing": {
-            "nanos": 0,
-            "secs": 2
-          }
+          "map": 4
         }
-      },
-      "me": {
-        "id": "a",
-        "incarnation": 97
-      },
-      "past_retired_at": null,
+      ],
       "silent": [
         "b"
       ],
-      "standing_until": 7000
+      "past_retired_at": null
     }
     "#);
+    let json = serde_json::to_value(&ownership).expect("ownership is serialisable");
     let parsed: Ownership = serde_json::from_value(json).expect("the same names are parsed");
     assert_eq!(parsed, ownership);
 }
