--- a/crates/cli/src/commands/request.rs
+++ b/crates/cli/src/commands/request.rs
@@ -31,7 +31,11 @@
         let lines = calls.iter().map(|call| {
             format!(
                 "{}  workspace {}  service {}  key {}  sent by {}\n",
-                call.ask.request, call.ask.workspace, call.ask.service, call.ask.key, call.sender
+                call.intent.request,
+                call.intent.workspace,
+                call.intent.service,
+                call.intent.key,
+                call.sender
             )
         });
         let lines: String = lines.collect();
--- a/crates/core/src/instance/dispatch.rs
+++ b/crates/core/src/instance/dispatch.rs
@@ -1,7 +1,7 @@
 //! A charged request on its way to a target: placed, recorded if it may not be repeated, sent.
 
 use crate::engines::{Permit, PermitEnd, PermitRequest};
-use crate::journal::{CallOutcome, JournalAsk, JournalStep};
+use crate::journal::{CallIntent, CallOutcome, JournalStep};
 use crate::services::{Slot, SlotEnd};
 use crate::{Action, Cx, RequestAction, RequestId, StoredAnswer, Time};
 
@@ -92,7 +92,7 @@
             self.send_call(id, slot, before);
             return;
         };
-        let ask = JournalAsk {
+        let ask = CallIntent {
             request: id,
             workspace: flight.workspace.clone(),
             service: service.clone(),
@@ -100,7 +100,7 @@
             fingerprint: call.fingerprint,
         };
         flight.stage = Stage::Record { slot };
-        let decisions = self.journal.ask(cx!(self, now), ask);
+        let decisions = self.journal.record_intent(cx!(self, now), ask);
         self.decide(decisions);
     }
 
@@ -110,13 +110,15 @@
             _ => None,
         };
         match (step, slot) {
-            (JournalStep::Go { send_before }, Some(slot)) => self.send_call(id, slot, send_before),
+            (JournalStep::Send { send_before }, Some(slot)) => {
+                self.send_call(id, slot, send_before);
+            }
             // The caller went away before the intent was recorded: nothing was sent, and the name
             // is free again.
-            (JournalStep::Go { .. }, None) => {
+            (JournalStep::Send { .. }, None) => {
                 if !self.flights.contains_key(&id) {
                     self.journal
-                        .finished(cx!(self, now), id, CallOutcome::NotRun);
+                        .record_outcome(cx!(self, now), id, CallOutcome::NotRun);
                 }
             }
             (JournalStep::Replay(answer), Some(_slot)) => self.replay(now, id, answer),
--- a/crates/core/src/instance/ending.rs
+++ b/crates/core/src/instance/ending.rs
@@ -143,7 +143,7 @@
         };
         self.free_slot(now, id, end);
         if once_only {
-            self.journal.finished(cx!(self, now), id, outcome);
+            self.journal.record_outcome(cx!(self, now), id, outcome);
         }
         match refusal {
             None => {
--- a/crates/core/src/journal/batch.rs
+++ b/crates/core/src/journal/batch.rs
@@ -1,72 +1,72 @@
-//! One write of a page: the items that waited, applied in order.
+//! Builds one write of a page from the waiting items, applied in order.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
 use crate::{IdempotencyKey, InstanceId, MemberRef, RequestId};
 
-use super::content::{Content, PageName, Record, RecordState};
-use super::message::{JournalMessage, Verdict};
-use super::{CallOutcome, JournalAsk};
+use super::content::{PageContent, PageName, Record, RecordState};
+use super::message::{IntentReply, JournalMessage};
+use super::{CallIntent, CallOutcome};
 
-/// Most items in one write.
-const BATCH_ITEMS: usize = 256;
+/// Maximum number of items in one write.
+const MAX_BATCH_ITEMS: usize = 256;
 
-/// No further item goes into a write that has added this many bytes of answers; with the
-/// length at which a page splits it keeps every value under a megabyte.
-const BATCH_ANSWER_BYTES: usize = 128 * 1024;
+/// A write takes no further items after it has added this many bytes of responses. Together with
+/// the length at which a page splits, this keeps every value under a megabyte.
+const MAX_BATCH_RESPONSE_BYTES: usize = 128 * 1024;
 
-/// Something to be recorded, and who is to hear of it.
+/// An intent or outcome to record, and the instance to reply to.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// The instance that sent it.
+    /// The instance that sent the item.
     pub from: InstanceId,
-    /// What it is.
+    /// The content of the item.
     pub kind: ItemKind,
 }
 
-/// What is to be recorded.
+/// The content of an [`Item`].
 #[derive(Clone, Debug)]
 pub enum ItemKind {
-    /// An intent.
-    Ask {
-        /// The life that alone may send the call.
+    /// An intent to send a call.
+    Intent {
+        /// The only incarnation that may send the call.
         sender: MemberRef,
         /// The call.
-        ask: JournalAsk,
+        intent: CallIntent,
     },
-    /// An outcome.
-    Report {
-        /// The caller's name for the call.
+    /// The outcome of a call.
+    Outcome {
+        /// The caller's idempotency key for the call.
         key: IdempotencyKey,
-        /// Which request.
+        /// The request that made the call.
         request: RequestId,
-        /// How it ended.
+        /// The outcome to record.
         outcome: CallOutcome,
     },
 }
 
 impl Item {
-    /// The request it is about.
+    /// Returns the id of the item's request.
     pub const fn request(&self) -> RequestId {
         match &self.kind {
-            ItemKind::Ask { ask, .. } => ask.request,
-            ItemKind::Report { request, .. } => *request,
+            ItemKind::Intent { intent, .. } => intent.request,
+            ItemKind::Outcome { request, .. } => *request,
         }
     }
 
-    /// Whether it is an intent.
-    pub const fn is_ask(&self) -> bool {
-        matches!(self.kind, ItemKind::Ask { .. })
+    /// Whether the item is an intent.
+    pub const fn is_intent(&self) -> bool {
+        matches!(self.kind, ItemKind::Intent { .. })
     }
 
-    /// Tells the asker of an intent that the platform does not take it now.
-    pub fn platform_away(&self) -> Option<Reply> {
-        let message = JournalMessage::Verdict {
+    /// For an intent, returns the reply that the platform is unavailable.
+    pub fn unavailable_reply(&self) -> Option<Reply> {
+        let message = JournalMessage::IntentReply {
             request: self.request(),
-            verdict: Verdict::PlatformAway,
+            reply: IntentReply::PlatformUnavailable,
         };
-        self.is_ask().then(|| Reply {
+        self.is_intent().then(|| Reply {
             to: self.from.clone(),
             message,
         })
@@ -74,39 +74,39 @@
 
     const fn key(&self) -> &IdempotencyKey {
         match &self.kind {
-            ItemKind::Ask { ask, .. } => &ask.key,
-            ItemKind::Report { key, .. } => key,
+            ItemKind::Intent { intent, .. } => &intent.key,
+            ItemKind::Outcome { key, .. } => key,
         }
     }
 }
 
-/// What to say to whom once the write took effect.
+/// A message to send once the write has taken effect.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// To which instance.
+    /// The receiving instance.
     pub to: InstanceId,
-    /// What to say.
+    /// The message.
     pub message: JournalMessage,
 }
 
-/// The outcome of applying items to a page.
+/// The result of applying items to a page.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// The page as it is to be written.
-    pub proposed: Content,
-    /// Whether it differs from what is written.
+    /// The page content to write.
+    pub proposed: PageContent,
+    /// Whether `proposed` differs from the stored content.
     pub is_changed: bool,
-    /// What the write settles.
+    /// The items that the write records.
     pub items: Vec<Item>,
-    /// What to say then.
+    /// The messages to send once the write has taken effect.
     pub replies: Vec<Reply>,
     /// Items that belong to another page.
     pub moved: Vec<(PageName, Item)>,
 }
 
 impl Batch {
-    /// A write that settles no item.
-    pub const fn bare(proposed: Content) -> Self {
+    /// Creates a write that records no items.
+    pub const fn without_items(proposed: PageContent) -> Self {
         Self {
             proposed,
             is_changed: true,
@@ -116,24 +116,24 @@
         }
     }
 
-    /// Applies waiting items to `content` at its clock's reading `clock`.
+    /// Applies waiting items to `content`, with the page clock at `clock`.
     pub fn build(
-        content: &Content,
+        content: &PageContent,
         clock: u64,
         retention: Duration,
         members: &BTreeSet<MemberRef>,
         waiting: &mut VecDeque<Item>,
     ) -> Self {
-        let mut batch = Self::bare(content.clone());
+        let mut batch = Self::without_items(content.clone());
         batch.is_changed = false;
         batch.proposed.clock = clock;
         batch.proposed.prune(retention);
         let mut bytes = 0;
-        while batch.items.len() < BATCH_ITEMS && bytes < BATCH_ANSWER_BYTES {
+        while batch.items.len() < MAX_BATCH_ITEMS && bytes < MAX_BATCH_RESPONSE_BYTES {
             let Some(item) = waiting.pop_front() else {
                 break;
             };
-            if let Some(page) = batch.proposed.elsewhere(item.key()) {
+            if let Some(page) = batch.proposed.child_page_of(item.key()) {
                 let page = page.clone();
                 batch.moved.push((page, item));
                 continue;
@@ -144,27 +144,27 @@
         batch
     }
 
-    // Returns how many bytes of answer were added.
+    // Returns the number of response bytes that were added.
     fn apply(&mut self, item: &Item, members: &BTreeSet<MemberRef>) -> usize {
         match &item.kind {
-            ItemKind::Ask { sender, ask } => {
-                let verdict = self.ask(sender, ask, members);
+            ItemKind::Intent { sender, intent } => {
+                let reply = self.record_intent(sender, intent, members);
                 self.reply(
                     item,
-                    JournalMessage::Verdict {
-                        request: ask.request,
-                        verdict,
+                    JournalMessage::IntentReply {
+                        request: intent.request,
+                        reply,
                     },
                 );
                 0
             }
-            ItemKind::Report {
+            ItemKind::Outcome {
                 key,
                 request,
                 outcome,
             } => {
-                let bytes = self.report(key, *request, outcome);
-                self.reply(item, JournalMessage::Recorded { request: *request });
+                let bytes = self.record_outcome(key, *request, outcome);
+                self.reply(item, JournalMessage::OutcomeRecorded { request: *request });
                 bytes
             }
         }
@@ -177,31 +177,36 @@
         });
     }
 
-    fn ask(
+    fn record_intent(
         &mut self,
         sender: &MemberRef,
-        ask: &JournalAsk,
+        intent: &CallIntent,
         members: &BTreeSet<MemberRef>,
-    ) -> Verdict {
-        if let Some(record) = self.proposed.records.get(&ask.key) {
-            return judge(record, ask, members);
+    ) -> IntentReply {
+        if let Some(record) = self.proposed.records.get(&intent.key) {
+            return reply_for_known_key(record, intent, members);
         }
         let record = Record {
-            request: ask.request,
-            service: ask.service.clone(),
-            fingerprint: ask.fingerprint,
+            request: intent.request,
+            service: intent.service.clone(),
+            fingerprint: intent.fingerprint,
             sender: sender.clone(),
             at: self.proposed.clock,
             state: RecordState::Intent,
         };
-        self.proposed.records.insert(ask.key.clone(), record);
+        self.proposed.records.insert(intent.key.clone(), record);
         self.is_changed = true;
-        Verdict::Go
+        IntentReply::Send
     }
 
-    // A sender reports one outcome for a request, ever, so a report about another request than the
-    // recorded one, or about a record that has its outcome, has nothing to add.
-    fn report(&mut self, key: &IdempotencyKey, request: RequestId, outcome: &CallOutcome) -> usize {
+    // A sender reports only one outcome for a request. A report about another request than the
+    // recorded one, or about a record that already has an outcome, is therefore ignored.
+    fn record_outcome(
+        &mut self,
+        key: &IdempotencyKey,
+        request: RequestId,
+        outcome: &CallOutcome,
+    ) -> usize {
         let Some(record) = self.proposed.records.get_mut(key) else {
             return 0;
         };
@@ -228,16 +233,20 @@
     }
 }
 
-// An ask for the recorded request itself gets its `Go` again: its sender alone may send it, and
-// sends it once however many `Go` it gets.
-fn judge(record: &Record, ask: &JournalAsk, members: &BTreeSet<MemberRef>) -> Verdict {
-    if !record.is_same_call(ask) {
-        return Verdict::KeyReused;
+// A repeated intent of the recorded request itself gets `Send` again. This is safe because only its
+// sender may send the call, and sends it once however many `Send` replies it receives.
+fn reply_for_known_key(
+    record: &Record,
+    intent: &CallIntent,
+    members: &BTreeSet<MemberRef>,
+) -> IntentReply {
+    if !record.is_same_call(intent) {
+        return IntentReply::KeyReused;
     }
     match &record.state {
-        RecordState::Answered(answer) => Verdict::Replay(answer.clone()),
-        RecordState::Intent if record.request == ask.request => Verdict::Go,
-        RecordState::Intent if members.contains(&record.sender) => Verdict::InProgress,
-        RecordState::Intent | RecordState::Unknown => Verdict::InDoubt,
+        RecordState::Answered(answer) => IntentReply::Replay(answer.clone()),
+        RecordState::Intent if record.request == intent.request => IntentReply::Send,
+        RecordState::Intent if members.contains(&record.sender) => IntentReply::InProgress,
+        RecordState::Intent | RecordState::Unknown => IntentReply::InDoubt,
     }
 }
--- a/crates/core/src/journal/caller.rs
+++ b/crates/core/src/journal/caller.rs
@@ -1,177 +1,181 @@
-//! Recorded calls at the instance that holds their callers.
+//! Recorded calls on the instance that holds the callers' connections.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::{Refusal, RefusalKind, RequestId, StoredAnswer, Time};
 
-use super::message::Verdict;
-use super::{CallOutcome, JournalAsk, JournalStep};
+use super::message::IntentReply;
+use super::{CallIntent, CallOutcome, JournalStep};
 
-/// An ask or a report without an answer is sent again after this time.
-const SEND_AGAIN: Duration = Duration::from_millis(250);
+/// Interval at which an intent or outcome is sent again while the owner has not replied.
+const RESEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A call that waits longer for the home's word is given up; longer than a takeover takes.
-const PATIENCE: Duration = Duration::from_secs(6);
+/// Maximum time that a call waits for the owner's reply. Longer than a takeover takes.
+const MAX_WAIT: Duration = Duration::from_secs(6);
 
-/// A call whose home said that it must wait is given up after this time.
-const SHORT_PATIENCE: Duration = Duration::from_secs(2);
+/// Maximum wait of a call whose owner has replied that the call must wait.
+const MAX_WAIT_AFTER_REPLY: Duration = Duration::from_secs(2);
 
-/// A call must be sent within this time after it was asked for, or not at all. An intent outlives
-/// it in the journal by far, so no sender that wakes up late finds its key given to another.
-const SEND_WITHIN: Duration = Duration::from_secs(10);
+/// A call must be sent within this time after it arrived, or not at all. The journal keeps intents
+/// much longer, so a sender that resumes late never finds its key reassigned to another call.
+const SEND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A refused caller is told to come back after this time.
+/// Retry delay that a rejected caller receives.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long an ended call is remembered, to answer a late `Go` for it.
-const REMEMBERED: Duration = Duration::from_mins(1);
+/// How long a call that was not sent is remembered, to handle a late `Send` for it.
+const UNSENT_CALL_RETENTION: Duration = Duration::from_mins(1);
 
-/// A longer body is not kept: a repeat gets status and content type alone.
-const LONGEST_BODY: usize = 16 * 1024;
+/// Response bodies longer than this are not stored. A repeat of the call then gets only the status
+/// and the content type.
+const MAX_STORED_BODY_BYTES: usize = 16 * 1024;
 
-/// How far a call has come.
+/// The state of a call.
 #[derive(Clone, Debug)]
 enum CallState {
-    /// Its intent is to be recorded; nothing is sent.
-    Asking,
-    /// It had its `Go`, and may be sent.
+    /// The intent is not confirmed as recorded; the call has not been sent.
+    AwaitingReply,
+    /// The owner replied `Send`: the call may be sent.
     Sent,
-    /// It ended, and the journal is to know how.
+    /// The call ended, and its outcome must be reported to the journal.
     Ended(CallOutcome),
 }
 
-/// A call of this instance's callers; it alone decides whether the call is sent.
+/// A call from one of this instance's callers. Only this instance decides whether to send it.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The call.
-    pub ask: JournalAsk,
+    /// The intent to record.
+    pub intent: CallIntent,
     state: CallState,
-    since: Time,
-    due: Time,
-    obstacle: Option<RefusalKind>,
+    started_at: Time,
+    next_send_at: Time,
+    wait_reason: Option<RefusalKind>,
 }
 
-/// What is to be said to the home about a call.
+/// The message about a call that is due to the owner.
 #[derive(Clone, Debug)]
-pub enum CallWord {
-    /// Nothing now.
-    Nothing,
+pub enum CallMessage {
+    /// No message is due.
+    None,
     /// Record the intent.
-    Ask,
+    RecordIntent,
     /// Record the outcome.
-    Report(CallOutcome),
+    RecordOutcome(CallOutcome),
 }
 
 impl Call {
-    /// A call that arrived now.
-    pub const fn new(ask: JournalAsk, now: Time) -> Self {
+    /// Creates a call that arrived at `now`.
+    pub const fn new(intent: CallIntent, now: Time) -> Self {
         Self {
-            ask,
-            state: CallState::Asking,
-            since: now,
-            due: now,
-            obstacle: None,
+            intent,
+            state: CallState::AwaitingReply,
+            started_at: now,
+            next_send_at: now,
+            wait_reason: None,
         }
     }
 
-    /// A call given up earlier, to be reported again.
-    pub fn given_up(ask: JournalAsk, now: Time) -> Self {
+    /// Creates a call that was abandoned earlier and must be reported as not run again.
+    pub fn abandoned(intent: CallIntent, now: Time) -> Self {
         Self {
             state: CallState::Ended(CallOutcome::NotRun),
-            ..Self::new(ask, now)
+            ..Self::new(intent, now)
         }
     }
 
-    /// What to say to the home now; it is said again until it is answered.
-    pub fn word(&mut self, now: Time) -> CallWord {
-        if now < self.due {
-            return CallWord::Nothing;
+    /// Returns the message that is due to the owner. It is sent again until the owner replies.
+    pub fn next_message(&mut self, now: Time) -> CallMessage {
+        if now < self.next_send_at {
+            return CallMessage::None;
         }
-        self.due = now + SEND_AGAIN;
+        self.next_send_at = now + RESEND_INTERVAL;
         match &self.state {
-            CallState::Asking => CallWord::Ask,
-            CallState::Sent => CallWord::Nothing,
-            CallState::Ended(outcome) => CallWord::Report(outcome.clone()),
+            CallState::AwaitingReply => CallMessage::RecordIntent,
+            CallState::Sent => CallMessage::None,
+            CallState::Ended(outcome) => CallMessage::RecordOutcome(outcome.clone()),
         }
     }
 
-    /// Says it at once: there is a new home.
-    pub const fn hurry(&mut self, now: Time) {
-        self.due = now;
+    /// Makes the next message due at once, because the owner may have changed.
+    pub const fn resend_now(&mut self, now: Time) {
+        self.next_send_at = now;
     }
 
-    /// Takes the home's word; what it means for the caller, if anything.
+    /// Handles the owner's reply and returns the decision for the caller, if there is one.
     ///
-    /// Guards against a call sent twice because a `Go` came twice, late, or from two homes: only
-    /// a call still asking takes one, and it never asks again.
-    pub fn verdict(&mut self, now: Time, verdict: Verdict) -> Option<JournalStep> {
-        if !matches!(self.state, CallState::Asking) {
+    /// Guards against sending a call twice because a `Send` is duplicated, late, or received from
+    /// two owners: only a call that still awaits a reply accepts a `Send`, and it never returns to
+    /// that state.
+    pub fn handle_reply(&mut self, now: Time, reply: IntentReply) -> Option<JournalStep> {
+        if !matches!(self.state, CallState::AwaitingReply) {
             return None;
         }
-        match verdict {
-            Verdict::Go if now < self.since + SEND_WITHIN => {
+        match reply {
+            IntentReply::Send if now < self.started_at + SEND_TIMEOUT => {
                 self.state = CallState::Sent;
-                let send_before = self.since + SEND_WITHIN;
-                Some(JournalStep::Go { send_before })
+                let send_before = self.started_at + SEND_TIMEOUT;
+                Some(JournalStep::Send { send_before })
             }
-            Verdict::Go => Some(self.give_up(now)),
-            Verdict::InProgress => {
-                self.obstacle = Some(RefusalKind::InProgress);
+            IntentReply::Send => Some(self.abandon(now)),
+            IntentReply::InProgress => {
+                self.wait_reason = Some(RefusalKind::InProgress);
                 None
             }
-            Verdict::PlatformAway => {
-                self.obstacle = Some(RefusalKind::PlatformUnavailable);
+            IntentReply::PlatformUnavailable => {
+                self.wait_reason = Some(RefusalKind::PlatformUnavailable);
                 None
             }
-            Verdict::Replay(answer) => Some(JournalStep::Replay(answer)),
-            Verdict::InDoubt => Some(refuse(Refusal::unknown(RefusalKind::InDoubt))),
-            Verdict::KeyReused => Some(refuse(Refusal::not_run(RefusalKind::KeyReused))),
+            IntentReply::Replay(answer) => Some(JournalStep::Replay(answer)),
+            IntentReply::InDoubt => Some(refuse(Refusal::unknown(RefusalKind::InDoubt))),
+            IntentReply::KeyReused => Some(refuse(Refusal::not_run(RefusalKind::KeyReused))),
         }
     }
 
-    /// Gives the call up if it waited too long.
-    pub fn lapse(&mut self, now: Time) -> Option<JournalStep> {
-        let waits = matches!(self.state, CallState::Asking);
-        (waits && now >= self.since + self.patience()).then(|| self.give_up(now))
+    /// Abandons the call if it has waited too long for a reply.
+    pub fn time_out(&mut self, now: Time) -> Option<JournalStep> {
+        let waits = matches!(self.state, CallState::AwaitingReply);
+        (waits && now >= self.started_at + self.max_wait()).then(|| self.abandon(now))
     }
 
-    /// Whether the journal is to hear of the call again; a call refused or replayed is done with.
-    pub const fn is_open(&self) -> bool {
-        !matches!(self.state, CallState::Asking)
+    /// Whether the call's outcome must still be reported to the journal. A call that was refused or
+    /// replayed needs no report.
+    pub const fn needs_report(&self) -> bool {
+        !matches!(self.state, CallState::AwaitingReply)
     }
 
-    /// The sent call ended; false if it had no `Go` or ended before.
-    pub fn ended(&mut self, now: Time, outcome: CallOutcome) -> bool {
+    /// Records that the sent call ended. Returns false if the call had no `Send` or had already
+    /// ended.
+    pub fn finish(&mut self, now: Time, outcome: CallOutcome) -> bool {
         if !matches!(self.state, CallState::Sent) {
             return false;
         }
-        self.state = CallState::Ended(trimmed(outcome));
-        self.due = now;
+        self.state = CallState::Ended(without_large_body(outcome));
+        self.next_send_at = now;
         true
     }
 
-    /// The outcome, once the call has ended.
+    /// Returns the outcome, or `None` if the call has not ended.
     pub const fn outcome(&self) -> Option<&CallOutcome> {
         match &self.state {
             CallState::Ended(outcome) => Some(outcome),
-            CallState::Asking | CallState::Sent => None,
+            CallState::AwaitingReply | CallState::Sent => None,
         }
     }
 
-    const fn patience(&self) -> Duration {
-        match self.obstacle {
-            None => PATIENCE,
-            Some(_) => SHORT_PATIENCE,
+    const fn max_wait(&self) -> Duration {
+        match self.wait_reason {
+            None => MAX_WAIT,
+            Some(_) => MAX_WAIT_AFTER_REPLY,
         }
     }
 
-    // "Not run" is true whatever became of the intent's write: only this instance could send the
-    // call, and from here on it never will. The report frees the key.
-    fn give_up(&mut self, now: Time) -> JournalStep {
+    // "Not run" is correct whether or not the intent was written: only this instance could send the
+    // call, and it never will after this. The report frees the key.
+    fn abandon(&mut self, now: Time) -> JournalStep {
         self.state = CallState::Ended(CallOutcome::NotRun);
-        self.due = now;
-        let kind = self.obstacle.unwrap_or(RefusalKind::PlatformUnavailable);
+        self.next_send_at = now;
+        let kind = self.wait_reason.unwrap_or(RefusalKind::PlatformUnavailable);
         refuse(Refusal::retry_after(kind, RETRY_AFTER))
     }
 }
@@ -180,40 +184,45 @@
     JournalStep::Refuse(refusal)
 }
 
-fn trimmed(outcome: CallOutcome) -> CallOutcome {
+fn without_large_body(outcome: CallOutcome) -> CallOutcome {
     match outcome {
         CallOutcome::Answered(answer) => {
-            let body = answer.body.filter(|body| body.len() <= LONGEST_BODY);
+            let body = answer
+                .body
+                .filter(|body| body.len() <= MAX_STORED_BODY_BYTES);
             CallOutcome::Answered(StoredAnswer { body, ..answer })
         }
         CallOutcome::NotRun | CallOutcome::Unknown => outcome,
     }
 }
 
-/// Calls that ended without being sent, remembered for a while.
+/// Calls that ended without being sent, remembered for `UNSENT_CALL_RETENTION`.
 ///
-/// A late, doubled ask may record the intent of such a call again. The `Go` that follows would find
-/// nobody, and the key would be in doubt for as long as outcomes are kept: so the report is given
-/// again.
+/// A late, duplicated message may record the intent of such a call again. The `Send` that follows
+/// would match no call, and the key would stay in doubt for as long as outcomes are kept. The
+/// report is therefore sent again.
 #[derive(Debug, Default)]
-pub struct GivenUp {
-    calls: BTreeMap<RequestId, (JournalAsk, Time)>,
+pub struct UnsentCalls {
+    calls: BTreeMap<RequestId, (CallIntent, Time)>,
 }
 
-impl GivenUp {
-    /// Remembers a call that is done with.
-    pub fn remember(&mut self, now: Time, ask: JournalAsk) {
-        self.calls.insert(ask.request, (ask, now));
+impl UnsentCalls {
+    /// Adds a call that ended without being sent.
+    pub fn remember(&mut self, now: Time, intent: CallIntent) {
+        self.calls.insert(intent.request, (intent, now));
     }
 
-    /// The call, if it is one of these.
-    pub fn get(&self, request: RequestId) -> Option<&JournalAsk> {
-        self.calls.get(&request).map(|(ask, _since)| ask)
+    /// Returns the call of `request`, if it is remembered.
+    pub fn get(&self, request: RequestId) -> Option<&CallIntent> {
+        self.calls
+            .get(&request)
+            .map(|(intent, _remembered_at)| intent)
     }
 
-    /// Forgets the oldest.
+    /// Removes the calls whose retention has expired.
     pub fn forget(&mut self, now: Time) {
-        self.calls
-            .retain(|_request, (_ask, since)| now < *since + REMEMBERED);
+        self.calls.retain(|_request, (_intent, remembered_at)| {
+            now < *remembered_at + UNSENT_CALL_RETENTION
+        });
     }
 }
--- a/crates/core/src/journal/content.rs
+++ b/crates/core/src/journal/content.rs
@@ -1,4 +1,4 @@
-//! A page of a workspace's journal as the platform keeps it.
+//! The content of a journal page as it is stored in the platform.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -13,52 +13,53 @@
     WorkspaceId,
 };
 
-use super::JournalAsk;
+use super::CallIntent;
 
-/// Workspace names up to this length that are legal in object names stand in them as they are.
+/// Maximum length at which a workspace name is used unchanged in object names, if all its
+/// characters are legal there.
 const PLAIN_NAME_BYTES: usize = 48;
 
-/// Bytes of the digest that stands for any other workspace name.
+/// Length of the digest that replaces any other workspace name.
 const NAME_DIGEST_BYTES: usize = 16;
 
-/// What is known of one call.
+/// The recorded state of one call.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordState {
-    /// It may be sent by its sender, and by nobody else.
+    /// Only the call's sender may send it.
     Intent,
-    /// It ran.
+    /// The call ran.
     Answered(StoredAnswer),
-    /// Its sender can't tell whether it ran.
+    /// The sender can't tell whether the call ran.
     Unknown,
 }
 
-/// One call in the journal.
+/// The record of one call.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Record {
-    /// The request that was let through.
+    /// The request whose intent was recorded.
     pub request: RequestId,
-    /// Which service it calls.
+    /// The service to call.
     pub service: ServiceId,
-    /// Tells a repeat from another call under the same key.
+    /// Hash that distinguishes a repeat from another call under the same key.
     pub fingerprint: u64,
-    /// The life that alone may send it.
+    /// The only incarnation that may send the call.
     pub sender: MemberRef,
-    /// The page's clock when the record last changed.
+    /// The page clock, in milliseconds, when the record last changed.
     pub at: u64,
-    /// What is known of it.
+    /// The state of the call.
     pub state: RecordState,
 }
 
 impl Record {
-    /// Whether `ask` repeats the recorded call.
-    pub fn is_same_call(&self, ask: &JournalAsk) -> bool {
-        self.fingerprint == ask.fingerprint && self.service == ask.service
+    /// Whether `intent` repeats the recorded call.
+    pub fn is_same_call(&self, intent: &CallIntent) -> bool {
+        self.fingerprint == intent.fingerprint && self.service == intent.service
     }
 
-    /// The recorded call as it was asked for.
-    pub fn ask(&self, workspace: &WorkspaceId, key: &IdempotencyKey) -> JournalAsk {
-        JournalAsk {
+    /// Returns the intent of the recorded call.
+    pub fn intent(&self, workspace: &WorkspaceId, key: &IdempotencyKey) -> CallIntent {
+        CallIntent {
             request: self.request,
             workspace: workspace.clone(),
             service: self.service.clone(),
@@ -68,35 +69,36 @@
     }
 }
 
-/// Name of one page within its workspace's journal.
+/// The name of a page within its workspace's journal.
 pub type PageName = Box<str>;
 
-/// The value of one object: a part of the calls of one workspace.
+/// The value of one object: the records of a part of a workspace's calls.
 ///
-/// A full page splits by one more bit of the keys' hash. The half that leaves goes to a page of a
-/// new name, which holds nothing before the parent names it; the name carries the epoch, so that a
-/// former home's late split can't touch the page of a later one.
+/// A full page splits by one more bit of the keys' hash. One half moves to a page with a new name,
+/// which is not in use before the parent lists it. The name contains the epoch, so that a late
+/// split by a former owner can't change a page of a later owner.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Content {
-    /// Whose journal this is.
+pub struct PageContent {
+    /// The workspace that the journal belongs to.
     pub workspace: WorkspaceId,
-    /// Grows with each takeover: the update that raises it makes a former home's writes conflict.
+    /// Increases with each takeover. The update that raises it makes writes of a former owner
+    /// conflict.
     pub epoch: u64,
-    /// Milliseconds counted by the homes while they held the page; stands still between two homes, so
-    /// that an outcome may be kept longer than the retention but never shorter.
+    /// Milliseconds counted by the owners while they had the page loaded. The clock stops between
+    /// two owners, so an outcome may be kept longer than the retention but never shorter.
     pub clock: u64,
-    /// How many low bits of a key's hash decide that it belongs here.
+    /// Number of low bits of a key's hash that select this page.
     pub depth: u32,
-    /// What these bits are.
+    /// The value of these bits.
     pub bits: u64,
-    /// Pages that took the other half at each split of this one, the earliest first.
+    /// The pages that received the other half at each split of this page, oldest split first.
     pub children: Vec<PageName>,
-    /// The calls, by key.
+    /// The records, by idempotency key.
     pub records: BTreeMap<IdempotencyKey, Record>,
 }
 
-impl Content {
-    /// An empty journal.
+impl PageContent {
+    /// Creates the content of an empty journal.
     pub const fn new(workspace: WorkspaceId) -> Self {
         Self {
             workspace,
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Parses an object's value.
+    /// Parses the value of the object `name`.
     pub fn parse(name: &ObjectName, workspace: &WorkspaceId, raw: &str) -> Result<Self, CoreError> {
         let malformed = |cause: &str| CoreError::MalformedObject {
             object: name.as_str().into(),
@@ -117,20 +119,21 @@
         };
         let content: Self =
             serde_json::from_str(raw).map_err(|error| malformed(&error.to_string()))?;
-        // Two workspaces' keys must never mix, also if their names shared a digest.
+        // Keys of two workspaces must never mix, even if the workspace names have the same digest.
         if content.workspace != *workspace {
             return Err(malformed("it belongs to another workspace"));
         }
         Ok(content)
     }
 
-    /// The object's value.
+    /// Returns the content serialised as the object's value.
     pub fn value(&self) -> Box<str> {
         serde_json::to_string(self).unwrap_or_default().into()
     }
 
-    /// The page that took this key at a split; none if it belongs here.
-    pub fn elsewhere(&self, key: &IdempotencyKey) -> Option<&PageName> {
+    /// Returns the page that this key moved to at a split, or `None` if the key belongs to this
+    /// page.
+    pub fn child_page_of(&self, key: &IdempotencyKey) -> Option<&PageName> {
         let first = self
             .depth
             .saturating_sub(u32::try_from(self.children.len()).unwrap_or(0));
@@ -139,7 +142,8 @@
         self.children.get(step)
     }
 
-    /// Splits off the half that the next bit decides: the new page's name, it, and what stays.
+    /// Splits the page by the next hash bit. Returns the new page's name, the new page, and this
+    /// page after the split.
     pub fn split(&self) -> (PageName, Self, Self) {
         let bits = self.bits | (1 << self.depth);
         let name: PageName = format!("{:x}-{}-{}", bits, self.depth + 1, self.epoch).into();
@@ -155,7 +159,7 @@
         let moved: Vec<_> = parent
             .records
             .keys()
-            .filter(|key| parent.elsewhere(key).is_some())
+            .filter(|key| parent.child_page_of(key).is_some())
             .cloned()
             .collect();
         for key in moved {
@@ -166,7 +170,7 @@
         (name, child, parent)
     }
 
-    /// Forgets calls older than `retention`.
+    /// Removes records older than `retention`.
     pub fn prune(&mut self, retention: Duration) {
         let clock = self.clock;
         self.records.retain(|_key, record| {
@@ -175,12 +179,13 @@
     }
 }
 
-/// The object that holds a page.
+/// Returns the name of the object that stores a page.
 pub fn object_name(workspace: &WorkspaceId, page: &str) -> Option<ObjectName> {
-    ObjectName::try_from(format!("journal-{}-{page}", encoded(workspace)).as_str()).ok()
+    ObjectName::try_from(format!("journal-{}-{page}", encode_workspace_name(workspace)).as_str())
+        .ok()
 }
 
-fn encoded(workspace: &WorkspaceId) -> String {
+fn encode_workspace_name(workspace: &WorkspaceId) -> String {
     let raw = workspace.as_str();
     let is_plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
     if raw.len() <= PLAIN_NAME_BYTES && raw.chars().all(is_plain) {
--- a/crates/core/src/journal/core.rs
+++ b/crates/core/src/journal/core.rs
@@ -12,108 +12,110 @@
 };
 
 use super::JournalMessage;
-use super::book::Book;
-use super::caller::{Call, CallWord, GivenUp};
+use super::caller::{Call, CallMessage, UnsentCalls};
+use super::owner::WorkspaceJournal;
 
-/// A call to be recorded before it is sent.
+/// The intent to send a call, recorded before the call is sent.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct JournalAsk {
-    /// The caller's request.
+pub struct CallIntent {
+    /// The request that makes the call.
     pub request: RequestId,
-    /// Whose it is.
+    /// The workspace that makes the call.
     pub workspace: WorkspaceId,
-    /// Which service it calls.
+    /// The service to call.
     pub service: ServiceId,
-    /// The caller's name for it.
+    /// The caller's idempotency key.
     pub key: IdempotencyKey,
-    /// Tells a repeat from another call under the same name.
+    /// Hash that distinguishes a repeat from another call under the same key.
     pub fingerprint: u64,
 }
 
 /// The next step of a recorded call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum JournalStep {
-    /// The intent is recorded: send it, once, before this time.
-    Go {
-        /// Not to be sent at or after this time; then it stays in doubt, unless its sender reports
-        /// that it did not send it.
+    /// The intent is recorded: send the call, once, before `send_before`.
+    Send {
+        /// The call must not be sent at or after this time. It then stays in doubt unless its
+        /// sender reports that it was not sent.
         send_before: Time,
     },
-    /// It ran before: answer with what it gave.
+    /// The call has already run: respond with the stored response.
     Replay(StoredAnswer),
-    /// Not sent.
+    /// The call is not sent.
     Refuse(Refusal),
 }
 
-/// A decision about a recorded call of this instance's callers.
+/// A decision about a call from one of this instance's callers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct JournalDecision {
-    /// Which request.
+    /// The request that makes the call.
     pub request: RequestId,
-    /// What to do with it.
+    /// The next step of the call.
     pub step: JournalStep,
 }
 
-/// How a sent call ended.
+/// The outcome of a call.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum CallOutcome {
-    /// The service answered.
+    /// The service responded.
     Answered(StoredAnswer),
-    /// Provably nothing ran: the name may be used again.
+    /// The call certainly did not run: its key may be used again.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// A call whose outcome is not known, as operators see it.
+/// A call with an unknown outcome, as shown to operators.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct InDoubt {
-    /// The call.
-    pub ask: JournalAsk,
-    /// The instance that was to send it.
+    /// The recorded intent.
+    #[serde(rename = "ask")]
+    pub intent: CallIntent,
+    /// The instance that was to send the call.
     pub sender: InstanceId,
 }
 
-/// Records calls that may not be repeated, as home of a workspace and for callers held here.
+/// Records calls that may not be repeated, both as owner of workspaces and for the callers of this
+/// instance.
 #[derive(Debug)]
 pub struct Journal {
     pub(super) retention: Duration,
     pub(super) members: BTreeSet<MemberRef>,
-    pub(super) books: BTreeMap<WorkspaceId, Book>,
+    pub(super) journals: BTreeMap<WorkspaceId, WorkspaceJournal>,
     pub(super) busy: BTreeSet<WorkspaceId>,
     pub(super) swept_at: Time,
     pub(super) last_call: CallId,
     revision: Option<Revision>,
     calls: BTreeMap<RequestId, Call>,
-    given_up: GivenUp,
-    // Words of this instance to itself; they need no message.
+    unsent_calls: UnsentCalls,
+    // Messages from this instance to itself, delivered without the network.
     inbox: VecDeque<JournalMessage>,
-    doubted: BTreeSet<RequestId>,
+    reported_in_doubt: BTreeSet<RequestId>,
 }
 
 impl Journal {
-    /// Nothing recorded, nothing waiting.
+    /// Creates a journal with no records loaded and no calls waiting.
     #[must_use]
     pub fn new(cfg: &Tuning) -> Self {
         Self {
             retention: cfg.outcome_retention,
             members: BTreeSet::new(),
-            books: BTreeMap::new(),
+            journals: BTreeMap::new(),
             busy: BTreeSet::new(),
             swept_at: Time::default(),
             last_call: CallId(0),
             revision: None,
             calls: BTreeMap::new(),
-            given_up: GivenUp::default(),
+            unsent_calls: UnsentCalls::default(),
             inbox: VecDeque::new(),
-            doubted: BTreeSet::new(),
+            reported_in_doubt: BTreeSet::new(),
         }
     }
 
-    /// A caller's call is to be recorded; decided by a [`JournalDecision`].
-    pub fn ask(&mut self, cx: &mut Cx<'_>, ask: JournalAsk) -> Vec<JournalDecision> {
+    /// Records the intent of a caller's call. A [`JournalDecision`] decides the call, now or later.
+    pub fn record_intent(&mut self, cx: &mut Cx<'_>, intent: CallIntent) -> Vec<JournalDecision> {
         self.sync(cx);
-        let request = ask.request;
+        let request = intent.request;
         if !cx.own.has_lease(cx.now) {
             let refusal = Refusal::not_run(RefusalKind::NoStanding);
             let step = JournalStep::Refuse(refusal);
@@ -121,38 +123,38 @@
         }
         self.calls
             .entry(request)
-            .or_insert_with(|| Call::new(ask, cx.now));
-        self.speak(cx, request);
+            .or_insert_with(|| Call::new(intent, cx.now));
+        self.send_due_message(cx, request);
         self.drain(cx)
     }
 
-    /// A call that had its `Go` ended.
-    pub fn finished(&mut self, cx: &mut Cx<'_>, request: RequestId, outcome: CallOutcome) {
+    /// Records the outcome of a call that had its [`JournalStep::Send`].
+    pub fn record_outcome(&mut self, cx: &mut Cx<'_>, request: RequestId, outcome: CallOutcome) {
         self.sync(cx);
         let Some(call) = self.calls.get_mut(&request) else {
             return;
         };
-        if call.ended(cx.now, outcome) {
-            self.speak(cx, request);
+        if call.finish(cx.now, outcome) {
+            self.send_due_message(cx, request);
             let decisions = self.drain(cx);
             debug_assert!(decisions.is_empty(), "a report decides no other call");
         }
     }
 
-    /// Takes an answer to a `Journal` call.
+    /// Handles the reply to a platform call of purpose `Journal`.
     pub fn platform(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) -> Vec<JournalDecision> {
         self.sync(cx);
-        self.platform_answered(cx, answer);
+        self.handle_platform_reply(cx, answer);
         self.drain(cx)
     }
 
-    /// A newer map is in force.
+    /// Handles the adoption of a newer map.
     pub fn map_changed(&mut self, cx: &mut Cx<'_>) -> Vec<JournalDecision> {
         self.sync(cx);
         self.drain(cx)
     }
 
-    /// Takes a message.
+    /// Handles a message from another instance.
     pub fn message(
         &mut self,
         cx: &mut Cx<'_>,
@@ -161,41 +163,41 @@
     ) -> Vec<JournalDecision> {
         self.sync(cx);
         let mut decisions = Vec::new();
-        self.take(cx, from, message, &mut decisions);
+        self.dispatch(cx, from, message, &mut decisions);
         decisions.extend(self.drain(cx));
         decisions
     }
 
-    /// Time passed.
+    /// Handles timeouts and everything that has become due.
     pub fn tick(&mut self, cx: &mut Cx<'_>) -> Vec<JournalDecision> {
         self.sync(cx);
         let mut decisions = Vec::new();
         for request in self.calls.keys().copied().collect::<Vec<_>>() {
-            self.age(cx.now, request, &mut decisions);
-            self.speak(cx, request);
+            self.expire_call(cx.now, request, &mut decisions);
+            self.send_due_message(cx, request);
         }
-        self.given_up.forget(cx.now);
+        self.unsent_calls.forget(cx.now);
         self.sweep(cx.now);
         self.advance_all(cx);
         decisions.extend(self.drain(cx));
         decisions
     }
 
-    /// Whether nothing is left to hand over or to record; a planned stop waits for this.
+    /// Whether no call is waiting and nothing is left to record. A planned stop waits for this.
     ///
-    /// As home nothing has to be handed over: what is said is in the journal, and what waits is
-    /// asked for again at the next home.
+    /// An owner has no state to hand over: everything it has confirmed is in the journal, and
+    /// senders repeat the waiting requests to the next owner.
     #[must_use]
     pub fn is_quiet(&self) -> bool {
         self.calls.is_empty() && self.busy.is_empty()
     }
 
-    /// The calls in doubt that this home knows of.
+    /// Returns the calls in doubt in the journal pages that this owner has loaded.
     #[must_use]
     pub fn in_doubt(&self) -> Vec<InDoubt> {
-        self.books
+        self.journals
             .values()
-            .flat_map(|book| book.in_doubt(&self.members))
+            .flat_map(|workspace_journal| workspace_journal.in_doubt(&self.members))
             .collect()
     }
 
@@ -211,53 +213,54 @@
             .iter()
             .map(crate::Member::member_ref)
             .collect();
-        // A home that is home no more forgets: what it has not said is asked for again elsewhere.
-        self.books
-            .retain(|id, _book| cx.own.is_owner(&OwnershipKey::Workspace(id.clone())));
-        self.busy.retain(|id| self.books.contains_key(id));
+        // Drops the journals that this instance no longer owns. Senders repeat unconfirmed requests
+        // to the new owner.
+        self.journals
+            .retain(|id, _journal| cx.own.is_owner(&OwnershipKey::Workspace(id.clone())));
+        self.busy.retain(|id| self.journals.contains_key(id));
         for call in self.calls.values_mut() {
-            call.hurry(cx.now);
+            call.resend_now(cx.now);
         }
         for request in self.calls.keys().copied().collect::<Vec<_>>() {
-            self.speak(cx, request);
+            self.send_due_message(cx, request);
         }
-        self.notice_doubts(cx);
+        self.report_new_doubts(cx);
     }
 
-    fn age(&mut self, now: Time, request: RequestId, decisions: &mut Vec<JournalDecision>) {
-        let lapsed = self
+    fn expire_call(&mut self, now: Time, request: RequestId, decisions: &mut Vec<JournalDecision>) {
+        let timed_out = self
             .calls
             .get_mut(&request)
-            .and_then(|call| call.lapse(now));
-        decisions.extend(lapsed.map(|step| JournalDecision { request, step }));
+            .and_then(|call| call.time_out(now));
+        decisions.extend(timed_out.map(|step| JournalDecision { request, step }));
     }
 
-    // Tells the home what is due about a call.
-    fn speak(&mut self, cx: &mut Cx<'_>, request: RequestId) {
+    // Sends the message about a call that is due to the owner.
+    fn send_due_message(&mut self, cx: &mut Cx<'_>, request: RequestId) {
         let Some(call) = self.calls.get_mut(&request) else {
             return;
         };
-        let key = OwnershipKey::Workspace(call.ask.workspace.clone());
-        let Some(home) = cx.own.owner(&key).cloned() else {
+        let key = OwnershipKey::Workspace(call.intent.workspace.clone());
+        let Some(owner) = cx.own.owner(&key).cloned() else {
             return;
         };
-        let message = match call.word(cx.now) {
-            CallWord::Nothing => return,
-            CallWord::Ask => JournalMessage::Ask {
+        let message = match call.next_message(cx.now) {
+            CallMessage::None => return,
+            CallMessage::RecordIntent => JournalMessage::RecordIntent {
                 sender: cx.own.local.clone(),
-                ask: call.ask.clone(),
+                intent: call.intent.clone(),
             },
-            CallWord::Report(outcome) => JournalMessage::Report {
-                workspace: call.ask.workspace.clone(),
-                key: call.ask.key.clone(),
+            CallMessage::RecordOutcome(outcome) => JournalMessage::RecordOutcome {
+                workspace: call.intent.workspace.clone(),
+                key: call.intent.key.clone(),
                 request,
                 outcome,
             },
         };
-        self.say(cx, &home, message);
+        self.send(cx, &owner, message);
     }
 
-    pub(super) fn say(&mut self, cx: &mut Cx<'_>, to: &InstanceId, message: JournalMessage) {
+    pub(super) fn send(&mut self, cx: &mut Cx<'_>, to: &InstanceId, message: JournalMessage) {
         if *to == cx.own.local.id {
             self.inbox.push_back(message);
             return;
@@ -270,14 +273,14 @@
 
     fn drain(&mut self, cx: &mut Cx<'_>) -> Vec<JournalDecision> {
         let mut decisions = Vec::new();
-        let me = cx.own.local.id.clone();
+        let local_id = cx.own.local.id.clone();
         while let Some(message) = self.inbox.pop_front() {
-            self.take(cx, &me, message, &mut decisions);
+            self.dispatch(cx, &local_id, message, &mut decisions);
         }
         decisions
     }
 
-    fn take(
+    fn dispatch(
         &mut self,
         cx: &mut Cx<'_>,
         from: &InstanceId,
@@ -285,48 +288,50 @@
         decisions: &mut Vec<JournalDecision>,
     ) {
         match message {
-            JournalMessage::Ask { sender, ask } => self.asked(cx, from, sender, ask),
-            JournalMessage::Report {
+            JournalMessage::RecordIntent { sender, intent } => {
+                self.handle_intent(cx, from, sender, intent);
+            }
+            JournalMessage::RecordOutcome {
                 workspace,
                 key,
                 request,
                 outcome,
-            } => self.reported(cx, from, &workspace, key, request, outcome),
-            JournalMessage::Verdict { request, verdict } => {
-                self.judged(cx, request, verdict, decisions);
+            } => self.handle_outcome(cx, from, &workspace, key, request, outcome),
+            JournalMessage::IntentReply { request, reply } => {
+                self.handle_intent_reply(cx, request, reply, decisions);
             }
-            JournalMessage::Recorded { request } => self.recorded(cx.now, request),
+            JournalMessage::OutcomeRecorded { request } => self.outcome_recorded(cx.now, request),
         }
     }
 
-    fn judged(
+    fn handle_intent_reply(
         &mut self,
         cx: &mut Cx<'_>,
         request: RequestId,
-        verdict: super::Verdict,
+        reply: super::IntentReply,
         decisions: &mut Vec<JournalDecision>,
     ) {
-        if let Some(ask) = self.given_up.get(request) {
-            let call = Call::given_up(ask.clone(), cx.now);
+        if let Some(intent) = self.unsent_calls.get(request) {
+            let call = Call::abandoned(intent.clone(), cx.now);
             self.calls.entry(request).or_insert(call);
-            self.speak(cx, request);
+            self.send_due_message(cx, request);
             return;
         }
         let Some(call) = self.calls.get_mut(&request) else {
             return;
         };
-        let Some(step) = call.verdict(cx.now, verdict) else {
+        let Some(step) = call.handle_reply(cx.now, reply) else {
             return;
         };
         decisions.push(JournalDecision { request, step });
-        if call.is_open() {
-            self.speak(cx, request);
+        if call.needs_report() {
+            self.send_due_message(cx, request);
         } else if let Some(call) = self.calls.remove(&request) {
-            self.given_up.remember(cx.now, call.ask);
+            self.unsent_calls.remember(cx.now, call.intent);
         }
     }
 
-    fn recorded(&mut self, now: Time, request: RequestId) {
+    fn outcome_recorded(&mut self, now: Time, request: RequestId) {
         let outcome = self.calls.get(&request).and_then(Call::outcome);
         let Some(outcome) = outcome.cloned() else {
             return;
@@ -335,16 +340,19 @@
             return;
         };
         if outcome == CallOutcome::NotRun {
-            self.given_up.remember(now, call.ask);
+            self.unsent_calls.remember(now, call.intent);
         }
     }
 
-    pub(super) fn notice_doubts(&mut self, cx: &mut Cx<'_>) {
-        let doubts = self.in_doubt();
-        let known: BTreeSet<_> = doubts.iter().map(|doubt| doubt.ask.request).collect();
-        for request in known.difference(&self.doubted) {
+    pub(super) fn report_new_doubts(&mut self, cx: &mut Cx<'_>) {
+        let calls_in_doubt = self.in_doubt();
+        let known: BTreeSet<_> = calls_in_doubt
+            .iter()
+            .map(|doubt| doubt.intent.request)
+            .collect();
+        for request in known.difference(&self.reported_in_doubt) {
             cx.out.push(Action::Notice(Notice::CallInDoubt(*request)));
         }
-        self.doubted = known;
+        self.reported_in_doubt = known;
     }
 }
--- a/crates/core/src/journal/message.rs
+++ b/crates/core/src/journal/message.rs
@@ -1,62 +1,63 @@
-//! What a workspace's home and the instances that hold callers say about recorded calls.
+//! Messages about recorded calls between a workspace's owner and the instances that hold callers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{IdempotencyKey, MemberRef, RequestId, StoredAnswer, WorkspaceId};
 
-use super::{CallOutcome, JournalAsk};
+use super::{CallIntent, CallOutcome};
 
-/// A call that may not be repeated, between the caller's instance and the journal's home.
+/// A message between the caller's instance and the journal's owner about a call that may not be
+/// repeated.
 ///
-/// Each may be lost, late or doubled: asks and reports are sent again until they are answered, and
-/// taking one twice changes nothing.
+/// Messages may be lost, late or duplicated. Intents and outcomes are sent again until the owner
+/// replies, and handling one twice changes nothing.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum JournalMessage {
-    /// To the home: record the intent.
-    Ask {
-        /// The life that alone may send the call.
+    /// Asks the owner to record the intent.
+    RecordIntent {
+        /// The only incarnation that may send the call.
         sender: MemberRef,
-        /// The call.
-        ask: JournalAsk,
+        /// The intent to record.
+        intent: CallIntent,
     },
-    /// From the home: what to do with the call.
-    Verdict {
-        /// Which request.
+    /// The owner's reply to an intent.
+    IntentReply {
+        /// The request that made the call.
         request: RequestId,
-        /// What to do.
-        verdict: Verdict,
+        /// The reply.
+        reply: IntentReply,
     },
-    /// To the home: how the call ended.
-    Report {
-        /// Whose call.
+    /// Asks the owner to record the outcome.
+    RecordOutcome {
+        /// The workspace that made the call.
         workspace: WorkspaceId,
-        /// The caller's name for it.
+        /// The caller's idempotency key for the call.
         key: IdempotencyKey,
-        /// Which request.
+        /// The request that made the call.
         request: RequestId,
-        /// How it ended.
+        /// The outcome to record.
         outcome: CallOutcome,
     },
-    /// From the home: the report is in the journal.
-    Recorded {
-        /// Which request.
+    /// The owner's confirmation that the outcome is recorded.
+    OutcomeRecorded {
+        /// The request that made the call.
         request: RequestId,
     },
 }
 
-/// What the home makes of an ask.
+/// The owner's reply to an intent.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub enum Verdict {
-    /// The intent is in the journal: send it, once.
-    Go,
-    /// It ran before.
+pub enum IntentReply {
+    /// The intent is recorded: send the call, once.
+    Send,
+    /// The call has already run; the stored response is enclosed.
     Replay(StoredAnswer),
-    /// A call with this key is under way.
+    /// A call with this key is in progress.
     InProgress,
-    /// The platform does not take the intent now; the home goes on trying.
-    PlatformAway,
-    /// What became of an earlier call with this key is not known.
+    /// The platform can't store the intent now; the owner keeps retrying.
+    PlatformUnavailable,
+    /// The outcome of an earlier call with this key is not known.
     InDoubt,
-    /// The key was used for another call.
+    /// The key was already used for a different call.
     KeyReused,
 }
--- a/crates/core/src/journal/mod.rs
+++ b/crates/core/src/journal/mod.rs
@@ -1,16 +1,16 @@
-//! Journal of calls that may not be repeated: at most one run for each idempotency key.
+//! Journal of calls that may not be repeated: each idempotency key runs at most once.
 //!
-//! The home of a workspace records an intent in the platform before the instance that holds the
-//! caller sends the call; that instance alone may send it, once. docs/design/journal.md has the
-//! protocol and the argument.
+//! The owner of a workspace records an intent in the platform before the instance that holds the
+//! caller sends the call. Only that instance may send the call, and only once.
+//! docs/design/journal.md describes the protocol and why it is safe.
 
 mod batch;
-mod book;
 mod caller;
 mod content;
 mod core;
 mod message;
+mod owner;
 mod page;
 
-pub use self::core::{CallOutcome, InDoubt, Journal, JournalAsk, JournalDecision, JournalStep};
-pub use self::message::{JournalMessage, Verdict};
+pub use self::core::{CallIntent, CallOutcome, InDoubt, Journal, JournalDecision, JournalStep};
+pub use self::message::{IntentReply, JournalMessage};
--- a/crates/core/src/journal/book.rs
+++ b/crates/core/src/journal/owner.rs
@@ -1,4 +1,4 @@
-//! A workspace's journal at its home: its pages, and what is said and written about them.
+//! The owner's side of a workspace's journal: its pages, platform calls and replies.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,40 +13,41 @@
 use super::content::{PageName, RecordState, object_name};
 use super::core::Journal;
 use super::page::{Page, PageStep};
-use super::{CallOutcome, InDoubt, JournalAsk};
+use super::{CallIntent, CallOutcome, InDoubt};
 
-/// The page that each journal begins with.
+/// Name of the first page of each journal.
 const ROOT: &str = "0";
 
-/// Pages not used for this long leave the memory, unless they hold a call in doubt.
-const PAGE_KEPT: Duration = Duration::from_mins(2);
+/// A journal whose pages were all idle for this long is dropped from memory, unless a page holds a
+/// call in doubt.
+const PAGE_IDLE_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// Time between two looks for pages to drop.
+/// Interval between two checks for idle journals.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The pages of one workspace's journal that are in memory.
+/// The pages of a workspace's journal that are in memory.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct WorkspaceJournal {
     pages: BTreeMap<PageName, Page>,
 }
 
-impl Book {
-    /// Its calls in doubt.
+impl WorkspaceJournal {
+    /// Returns the calls in doubt in the loaded pages.
     pub fn in_doubt(&self, members: &BTreeSet<MemberRef>) -> Vec<InDoubt> {
-        let mut doubts = Vec::new();
+        let mut calls_in_doubt = Vec::new();
         for content in self.pages.values().filter_map(Page::content) {
             for (key, record) in &content.records {
                 let is_orphan =
                     record.state == RecordState::Intent && !members.contains(&record.sender);
                 if is_orphan || record.state == RecordState::Unknown {
-                    doubts.push(InDoubt {
-                        ask: record.ask(&content.workspace, key),
+                    calls_in_doubt.push(InDoubt {
+                        intent: record.intent(&content.workspace, key),
                         sender: record.sender.id.clone(),
                     });
                 }
             }
         }
-        doubts
+        calls_in_doubt
     }
 
     fn is_busy(&self) -> bool {
@@ -63,29 +64,29 @@
 }
 
 impl Journal {
-    /// As home: an intent is to be recorded.
-    pub(super) fn asked(
+    /// Records an intent, as owner.
+    pub(super) fn handle_intent(
         &mut self,
         cx: &mut Cx<'_>,
         from: &InstanceId,
         sender: MemberRef,
-        ask: JournalAsk,
+        intent: CallIntent,
     ) {
-        // An unlisted sender would be in doubt at once. It asks again, and by then the newer of
-        // the two maps is known to both.
+        // The call of a sender that is not in the map would be in doubt at once. The sender repeats
+        // the intent, and by then both instances know the newer of the two maps.
         if !self.members.contains(&sender) {
             return;
         }
-        let workspace = ask.workspace.clone();
+        let workspace = intent.workspace.clone();
         let item = Item {
             from: from.clone(),
-            kind: ItemKind::Ask { sender, ask },
+            kind: ItemKind::Intent { sender, intent },
         };
-        self.enter(cx, &workspace, item);
+        self.enqueue(cx, &workspace, item);
     }
 
-    /// As home: an outcome is to be recorded.
-    pub(super) fn reported(
+    /// Records an outcome, as owner.
+    pub(super) fn handle_outcome(
         &mut self,
         cx: &mut Cx<'_>,
         from: &InstanceId,
@@ -96,77 +97,77 @@
     ) {
         let item = Item {
             from: from.clone(),
-            kind: ItemKind::Report {
+            kind: ItemKind::Outcome {
                 key,
                 request,
                 outcome,
             },
         };
-        self.enter(cx, workspace, item);
+        self.enqueue(cx, workspace, item);
     }
 
-    fn enter(&mut self, cx: &mut Cx<'_>, workspace: &WorkspaceId, item: Item) {
+    fn enqueue(&mut self, cx: &mut Cx<'_>, workspace: &WorkspaceId, item: Item) {
         if !cx
             .own
             .may_act(cx.now, &OwnershipKey::Workspace(workspace.clone()))
         {
             return;
         }
-        let book = self.books.entry(workspace.clone()).or_default();
-        book.push(cx.now, ROOT, item);
+        let workspace_journal = self.journals.entry(workspace.clone()).or_default();
+        workspace_journal.push(cx.now, ROOT, item);
         self.advance(cx, workspace);
     }
 
-    /// Takes the platform's answer and goes on with the page it is about.
-    pub(super) fn platform_answered(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+    /// Handles a platform reply and advances the journal that made the call.
+    pub(super) fn handle_platform_reply(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
         let PlatformPurpose::Journal(workspace) = answer.purpose else {
             return;
         };
-        let Some(book) = self.books.get_mut(&workspace) else {
+        let Some(workspace_journal) = self.journals.get_mut(&workspace) else {
             return;
         };
         let mut replies = Vec::new();
-        let Some((name, page)) = book
+        let Some((name, page)) = workspace_journal
             .pages
             .iter_mut()
-            .find(|(_name, page)| page.awaits(answer.id))
+            .find(|(_name, page)| page.is_awaiting(answer.id))
         else {
             return;
         };
         let Some(name) = object_name(&workspace, name) else {
             return;
         };
-        match page.answered(cx.now, answer.reply, &name, &workspace) {
-            Ok(said) => replies = said,
+        match page.handle_platform_reply(cx.now, answer.reply, &name, &workspace) {
+            Ok(due) => replies = due,
             Err(_malformed) => cx.out.push(Action::Notice(Notice::ObjectMalformed(name))),
         }
         for reply in replies {
-            self.say(cx, &reply.to, reply.message);
+            self.send(cx, &reply.to, reply.message);
         }
-        self.notice_doubts(cx);
+        self.report_new_doubts(cx);
         self.advance(cx, &workspace);
     }
 
-    /// Goes on with all journals that have something to do.
+    /// Advances all journals that have work to do.
     pub(super) fn advance_all(&mut self, cx: &mut Cx<'_>) {
         for workspace in self.busy.clone() {
             self.advance(cx, &workspace);
         }
     }
 
-    /// Drops pages from memory that were not used for long.
+    /// Drops idle journals from memory.
     pub(super) fn sweep(&mut self, now: Time) {
         if now < self.swept_at + SWEEP_INTERVAL {
             return;
         }
         self.swept_at = now;
         let members = &self.members;
-        self.books.retain(|_id, book| {
-            let idle = book
+        self.journals.retain(|_id, workspace_journal| {
+            let idle = workspace_journal
                 .pages
                 .values()
-                .all(|page| page.is_idle_since(now - PAGE_KEPT));
-            !idle || !book.in_doubt(members).is_empty()
+                .all(|page| page.is_idle_since(now - PAGE_IDLE_TIMEOUT));
+            !idle || !workspace_journal.in_doubt(members).is_empty()
         });
     }
 
@@ -175,18 +176,22 @@
         while let Some(name) = self.next_page(cx, workspace, &key) {
             self.step_page(cx, workspace, &name);
         }
-        if self.books.get(workspace).is_some_and(Book::is_busy) {
+        if self
+            .journals
+            .get(workspace)
+            .is_some_and(WorkspaceJournal::is_busy)
+        {
             self.busy.insert(workspace.clone());
         } else {
             self.busy.remove(workspace);
         }
     }
 
-    // A page that can go on, while this instance may act.
+    // Returns a page that has a next step, if this instance may act.
     //
-    // Guards against a home that was paused: its standing is asked right before each call. The
-    // journal would be safe without, by the versions; this keeps two homes from disturbing each
-    // other.
+    // Guards against an owner that was paused, by checking its lease right before each platform
+    // call. Object versions alone keep the journal safe; this check keeps two owners from
+    // disturbing each other.
     fn next_page(
         &self,
         cx: &Cx<'_>,
@@ -196,27 +201,27 @@
         if !cx.own.may_act(cx.now, key) {
             return None;
         }
-        let mut pages = self.books.get(workspace)?.pages.iter();
-        let ready = pages.find(|(_name, page)| page.can_go_on(cx.now))?;
+        let mut pages = self.journals.get(workspace)?.pages.iter();
+        let ready = pages.find(|(_name, page)| page.has_next_step(cx.now))?;
         Some(ready.0.clone())
     }
 
     fn step_page(&mut self, cx: &mut Cx<'_>, workspace: &WorkspaceId, name: &PageName) {
-        let Some(book) = self.books.get_mut(workspace) else {
+        let Some(workspace_journal) = self.journals.get_mut(workspace) else {
             return;
         };
-        let Some(page) = book.pages.get_mut(name) else {
+        let Some(page) = workspace_journal.pages.get_mut(name) else {
             return;
         };
         let step = page.next(cx.now, self.retention, &self.members);
         for (child, item) in page.take_moved() {
-            book.push(cx.now, &child, item);
+            workspace_journal.push(cx.now, &child, item);
         }
         match step {
-            PageStep::Rest => {}
-            PageStep::Say(replies) => {
+            PageStep::Idle => {}
+            PageStep::Reply(replies) => {
                 for reply in replies {
-                    self.say(cx, &reply.to, reply.message);
+                    self.send(cx, &reply.to, reply.message);
                 }
             }
             PageStep::Read => self.call(cx, workspace, name, name, |name| PlatformOp::Get { name }),
@@ -237,7 +242,7 @@
         }
     }
 
-    // Calls the platform for `page` about the object of `object`.
+    // Calls the platform on behalf of `page` for the object that stores the page `object`.
     fn call(
         &mut self,
         cx: &mut Cx<'_>,
@@ -247,9 +252,11 @@
         op: impl FnOnce(ObjectName) -> PlatformOp,
     ) {
         self.last_call = CallId(self.last_call.0 + 1);
-        let book = self.books.get_mut(workspace);
-        if let Some(page) = book.and_then(|book| book.pages.get_mut(page)) {
-            page.sent(self.last_call);
+        let workspace_journal = self.journals.get_mut(workspace);
+        if let Some(page) =
+            workspace_journal.and_then(|workspace_journal| workspace_journal.pages.get_mut(page))
+        {
+            page.set_call_id(self.last_call);
         }
         let Some(name) = object_name(workspace, object) else {
             return;
--- a/crates/core/tests/journal.rs
+++ b/crates/core/tests/journal.rs
@@ -32,7 +32,7 @@
 fn kind(fleet: &Fleet, request: RequestId) -> Option<RefusalKind> {
     match fleet.step_of(request)? {
         JournalStep::Refuse(refusal) => Some(refusal.kind),
-        JournalStep::Go { .. } | JournalStep::Replay(_) => None,
+        JournalStep::Send { .. } | JournalStep::Replay(_) => None,
     }
 }
 
@@ -44,7 +44,10 @@
     fleet.run(500);
     let again = fleet.ask(&two, &workspace(0), "k", 1).expect("running");
     fleet.run(500);
-    assert!(matches!(fleet.step_of(first), Some(JournalStep::Go { .. })));
+    assert!(matches!(
+        fleet.step_of(first),
+        Some(JournalStep::Send { .. })
+    ));
     assert_eq!(
         fleet.step_of(again),
         Some(&JournalStep::Replay(answer(first, fleet.answer_bytes)))
@@ -70,8 +73,8 @@
     let one = fleet.ask(&id, &workspace(0), "k", 1).expect("running");
     let two = fleet.ask(&id, &workspace(1), "k", 2).expect("running");
     fleet.run(500);
-    assert!(matches!(fleet.step_of(one), Some(JournalStep::Go { .. })));
-    assert!(matches!(fleet.step_of(two), Some(JournalStep::Go { .. })));
+    assert!(matches!(fleet.step_of(one), Some(JournalStep::Send { .. })));
+    assert!(matches!(fleet.step_of(two), Some(JournalStep::Send { .. })));
 }
 
 #[test]
@@ -80,7 +83,7 @@
     let [one, two] = elsewhere(&fleet);
     let requests = [one, two].map(|id| fleet.ask(&id, &workspace(0), "k", 1).expect("running"));
     fleet.run(1_500);
-    let went = requests.map(|id| matches!(fleet.step_of(id), Some(JournalStep::Go { .. })));
+    let went = requests.map(|id| matches!(fleet.step_of(id), Some(JournalStep::Send { .. })));
     let replayed = requests.map(|id| matches!(fleet.step_of(id), Some(JournalStep::Replay(_))));
     assert_eq!(went.map(|it| !it), replayed);
     fleet.check();
@@ -96,7 +99,10 @@
     fleet.service = Service::Answers;
     let again = fleet.ask(&home, &workspace(0), "k", 1).expect("running");
     fleet.run(800);
-    assert!(matches!(fleet.step_of(again), Some(JournalStep::Go { .. })));
+    assert!(matches!(
+        fleet.step_of(again),
+        Some(JournalStep::Send { .. })
+    ));
 }
 
 #[test]
@@ -130,7 +136,10 @@
     fleet.run(8_000);
     let again = fleet.ask(&home, &workspace(0), "k", 1).expect("running");
     fleet.run(1_000);
-    assert!(matches!(fleet.step_of(again), Some(JournalStep::Go { .. })));
+    assert!(matches!(
+        fleet.step_of(again),
+        Some(JournalStep::Send { .. })
+    ));
     assert!(fleet.journal(&home).is_quiet());
     fleet.check();
 }
@@ -138,7 +147,7 @@
 #[test]
 fn frozen_home_that_writes_late_meets_a_conflict() {
     // A filing would run twice: the home freezes with an intent's write on its way, another home
-    // takes over and lets the repeat run, and the first one thaws and says `Go` as well.
+    // takes over and lets the repeat run, and the first one thaws and says `Send` as well.
     let mut fleet = fleet();
     let home = fleet.home(&workspace(0));
     let [one, two] = elsewhere(&fleet);
@@ -159,7 +168,7 @@
 
 #[test]
 fn call_whose_sender_is_gone_is_in_doubt_and_never_sent_again() {
-    // A filing would run twice: its sender had its `Go` and dies, nobody knows whether it sent it,
+    // A filing would run twice: its sender had its `Send` and dies, nobody knows whether it sent it,
     // and the caller repeats the call at another instance.
     let mut fleet = fleet();
     let home = fleet.home(&workspace(0));
@@ -195,7 +204,10 @@
     fleet.service_ms = 10;
     let again = fleet.ask(&one, &workspace(0), "k", 1).expect("running");
     fleet.run(1_000);
-    assert!(matches!(fleet.step_of(again), Some(JournalStep::Go { .. })));
+    assert!(matches!(
+        fleet.step_of(again),
+        Some(JournalStep::Send { .. })
+    ));
 }
 
 #[test]
@@ -237,7 +249,10 @@
     fleet.run(25_000);
     let later = fleet.ask(&one, &workspace(0), "k", 1).expect("running");
     fleet.run(500);
-    assert!(matches!(fleet.step_of(later), Some(JournalStep::Go { .. })));
+    assert!(matches!(
+        fleet.step_of(later),
+        Some(JournalStep::Send { .. })
+    ));
 }
 
 #[test]
@@ -303,12 +318,34 @@
     fleet.run(2_700);
     assert!(matches!(
         fleet.step_of(repeat),
-        Some(JournalStep::Go { .. })
+        Some(JournalStep::Send { .. })
     ));
     fleet.run(6_000);
     assert!(!matches!(
         fleet.step_of(first),
-        Some(JournalStep::Go { .. })
+        Some(JournalStep::Send { .. })
     ));
     fleet.check();
 }
+
+#[test]
+fn calls_in_doubt_serialise_their_intent_as_ask() {
+    // Operators' tools read the list of calls in doubt as JSON: its field names must not change.
+    let mut fleet = fleet();
+    let home = fleet.home(&workspace(0));
+    fleet.service = Service::Dies;
+    let request = fleet.ask(&home, &workspace(0), "k", 1).expect("running");
+    fleet.run(800);
+    let listed = serde_json::to_value(fleet.journal(&home).in_doubt()).expect("valid JSON");
+    let expected = serde_json::json!([{
+        "ask": {
+            "request": request,
+            "workspace": workspace(0),
+            "service": "court",
+            "key": "k",
+            "fingerprint": 1,
+        },
+        "sender": home,
+    }]);
+    assert_eq!(listed, expected);
+}
--- a/crates/core/tests/journal_fuzz.rs
+++ b/crates/core/tests/journal_fuzz.rs
@@ -308,7 +308,7 @@
 #[test]
 fn few_calls_are_left_in_doubt_through_takeovers() {
     // Callers whose call is in doubt must ask the service by hand. Only a call whose sender died
-    // between its `Go` and its report may end so: each kill here hits one call in its first 30 ms.
+    // between its `Send` and its report may end so: each kill here hits one call in its first 30 ms.
     for seed in 1..=3 {
         let filed = file_through_takeovers(seed);
         println!("seed {seed}: {filed:?}");
--- a/crates/core/tests/support/journal_fleet.rs
+++ b/crates/core/tests/support/journal_fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bluebellstage_core::journal::{
-    CallOutcome, Journal, JournalAsk, JournalDecision, JournalMessage, JournalStep,
+    CallIntent, CallOutcome, Journal, JournalDecision, JournalMessage, JournalStep,
 };
 use bluebellstage_core::{
     Action, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, PeerMessage, PlatformAnswer, Ran,
@@ -131,7 +131,7 @@
             .filter(|node| node.seat.is_running(now))?;
         let request = RequestId(self.next_request);
         self.next_request += 1;
-        let ask = JournalAsk {
+        let ask = CallIntent {
             request,
             workspace: workspace.clone(),
             service: "court".parse().expect("legal name"),
@@ -147,7 +147,7 @@
             has_ended: false,
         };
         self.asked.insert(request, asked);
-        let decisions = self.step(id, |journal, cx| journal.ask(cx, ask));
+        let decisions = self.step(id, |journal, cx| journal.record_intent(cx, ask));
         self.decided(id, decisions);
         Some(request)
     }
@@ -296,7 +296,7 @@
         }
     }
 
-    // Sends calls that had their `Go`, as a shell does: right before it looks at the clock.
+    // Sends calls that had their `Send`, as a shell does: right before it looks at the clock.
     fn dispatch(&mut self) {
         let now = self.now;
         let dispatches = std::mem::take(&mut self.dispatches);
@@ -351,7 +351,7 @@
             let request = running.request;
             self.asked.get_mut(&request).expect("asked").has_ended = true;
             self.step(&running.life.id, |journal, cx| {
-                journal.finished(cx, request, running.outcome);
+                journal.record_outcome(cx, request, running.outcome);
             });
         }
     }
@@ -422,7 +422,7 @@
             );
             asked.decided_at = Some(self.now);
             asked.step = Some(decision.step.clone());
-            if let JournalStep::Go { send_before } = decision.step {
+            if let JournalStep::Send { send_before } = decision.step {
                 self.dispatches.push(Dispatch {
                     at: self.now + self.rng.random_range(0..50_000),
                     life: life.clone(),
--- a/crates/core/tests/support/journal_service.rs
+++ b/crates/core/tests/support/journal_service.rs
@@ -1,6 +1,6 @@
 //! A fake of a plain service whose calls may not be repeated.
 
-use bluebellstage_core::journal::{CallOutcome, JournalAsk, JournalStep};
+use bluebellstage_core::journal::{CallIntent, CallOutcome, JournalStep};
 use bluebellstage_core::{MemberRef, Refusal, RefusalKind, RequestId, StoredAnswer};
 
 /// What the fake service does with a call that reaches it.
@@ -44,7 +44,7 @@
 /// A request as the caller sees it.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    pub ask: JournalAsk,
+    pub ask: CallIntent,
     pub life: MemberRef,
     pub step: Option<JournalStep>,
     pub at: u64,
@@ -74,11 +74,11 @@
         let is_in_doubt = |refusal: &Refusal| refusal.kind == RefusalKind::InDoubt;
         self.is_in_doubt = match &asked.step {
             Some(JournalStep::Refuse(refusal)) => is_in_doubt(refusal),
-            Some(JournalStep::Replay(_) | JournalStep::Go { .. }) | None => false,
+            Some(JournalStep::Replay(_) | JournalStep::Send { .. }) | None => false,
         };
         self.is_final = match &asked.step {
             Some(JournalStep::Replay(_)) => true,
-            Some(JournalStep::Go { .. }) => lives || asked.has_ended,
+            Some(JournalStep::Send { .. }) => lives || asked.has_ended,
             Some(JournalStep::Refuse(refusal)) => is_in_doubt(refusal),
             None => false,
         };
--- a/crates/daemon/src/connection/admin/state.rs
+++ b/crates/daemon/src/connection/admin/state.rs
@@ -84,7 +84,7 @@
     let flight = flights
         .into_iter()
         .find(|flight| flight["id"] == name.as_str());
-    let in_doubt = in_doubt.into_iter().find(|call| call.ask.request == id);
+    let in_doubt = in_doubt.into_iter().find(|call| call.intent.request == id);
     if flight.is_none() && in_doubt.is_none() {
         return Err(AdminError::new(
             404,
