--- a/crates/core/src/catalogue/change.rs
+++ b/crates/core/src/catalogue/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the catalogue.
+//! Changes to the catalogue.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,17 +6,17 @@
 
 use super::{AdapterEntry, KeyEntry, ServiceEntry, WorkspaceEntry};
 
-/// One change of one entry.
+/// A change to one entry.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Change {
     /// Add or replace a workspace.
     PutWorkspace(WorkspaceEntry),
-    /// Remove a workspace with its keys; refused while it owns adapters.
+    /// Remove a workspace and its keys; rejected while the workspace owns adapters.
     RemoveWorkspace(WorkspaceId),
     /// Add a key.
     IssueKey(KeyEntry),
-    /// Withdraw a key.
+    /// Withdraw a key, so that it is no longer accepted.
     WithdrawKey(KeyId),
     /// Add or replace an adapter.
     PutAdapter(AdapterEntry),
@@ -28,39 +28,40 @@
     RemoveService(ServiceId),
 }
 
-/// Changes that an operator wants in force together or not at all.
+/// Changes that take effect together or not at all.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
-    /// Makes a retry idempotent.
+    /// Identifies the request, which makes a retry idempotent.
     pub id: ChangeId,
-    /// Refused unless the catalogue is at this revision; none for whatever it is.
+    /// The request is rejected unless the catalogue is at this revision; `None` accepts any
+    /// revision.
     pub expected: Option<Revision>,
-    /// What to change, in this order.
+    /// The changes, applied in this order.
     pub changes: Vec<Change>,
 }
 
-/// What became of a change.
+/// The outcome of a change request.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ApplyOutcome {
-    /// Written and known to a majority of instances: it never reverts.
+    /// Written and known to a majority of instances; the change never reverts.
     Accepted {
-        /// The revision at which it came in force.
+        /// The revision at which the change took effect.
         revision: Revision,
     },
-    /// The catalogue is at another revision than expected; nothing was changed.
+    /// The catalogue is not at the expected revision; nothing was changed.
     Stale {
         /// The revision in force.
         revision: Revision,
     },
-    /// It contradicts the catalogue; nothing was changed.
+    /// The change contradicts the catalogue; nothing was changed.
     Invalid {
-        /// What contradicts, and what to do about it.
+        /// The contradiction and how to resolve it.
         cause: Box<str>,
     },
     /// The platform can't be reached; nothing was changed.
     Unavailable,
-    /// It may or may not be in force: ask again with the same change id.
+    /// The change may or may not have taken effect: retry with the same change id.
     Unknown,
 }
--- a/crates/core/src/catalogue/compact.rs
+++ b/crates/core/src/catalogue/compact.rs
@@ -1,22 +1,25 @@
-//! Compaction: a snapshot takes the place of the log objects before it.
+//! Compaction: replaces log objects by a snapshot.
 
 use crate::platform::PlatformAnswer;
 use crate::{CallId, Expected, ObjectName, PlatformOp, PlatformReply};
 
 use super::core::KnownHead;
-use super::head::{COMPACT_AFTER, Head, SnapshotRef, head_object, pages, to_json};
+use super::head::{
+    COMPACTION_THRESHOLD, Head, SnapshotRef, head_object, split_into_pages, to_json,
+};
 use super::{CatalogueState, Change};
 
-/// Writes a snapshot page by page, then the head, then removes what the snapshot replaced.
+/// Writes a snapshot page by page, then the head, then deletes the objects that the snapshot
+/// replaced.
 #[derive(Debug, Default)]
 pub(super) struct Compaction {
-    work: Option<Work>,
+    snapshot_write: Option<SnapshotWrite>,
     call: Option<CallId>,
-    garbage: Vec<ObjectName>,
+    obsolete_objects: Vec<ObjectName>,
 }
 
 #[derive(Debug)]
-struct Work {
+struct SnapshotWrite {
     base: KnownHead,
     snapshot: SnapshotRef,
     pages: Vec<Box<str>>,
@@ -25,64 +28,71 @@
 }
 
 impl Compaction {
-    /// Whether this answer belongs here.
-    pub(super) fn owns(&self, id: CallId) -> bool {
+    /// Whether the call `id` was made by the compaction.
+    pub(super) fn is_awaiting(&self, id: CallId) -> bool {
         self.call == Some(id)
     }
 
-    /// A write was sent.
-    pub(super) const fn asked(&mut self, id: CallId) {
+    /// Records that a call was sent.
+    pub(super) const fn call_sent(&mut self, id: CallId) {
         self.call = Some(id);
     }
 
-    /// The next write, if there is one to make now.
+    /// Returns the next write or deletion, if one is due.
     pub(super) fn next(&mut self, head: &KnownHead, state: &CatalogueState) -> Option<PlatformOp> {
         if self.call.is_some() {
             return None;
         }
-        if self.work.is_none()
-            && head.head.after(head.head.snapshot_revision()).count() >= COMPACT_AFTER
+        if self.snapshot_write.is_none()
+            && head
+                .head
+                .changes_after(head.head.snapshot_revision())
+                .count()
+                >= COMPACTION_THRESHOLD
         {
-            self.work = Some(Work::new(head, state));
+            self.snapshot_write = Some(SnapshotWrite::new(head, state));
         }
-        match &mut self.work {
-            Some(work) => Some(work.next()),
-            None => self.garbage.pop().map(|name| PlatformOp::Delete { name }),
+        match &mut self.snapshot_write {
+            Some(snapshot_write) => Some(snapshot_write.next()),
+            None => self
+                .obsolete_objects
+                .pop()
+                .map(|name| PlatformOp::Delete { name }),
         }
     }
 
-    /// Takes a write's answer; gives the head if it is the new one.
-    pub(super) fn answer(&mut self, answer: PlatformAnswer) -> Option<KnownHead> {
+    /// Handles the reply to a call. Returns the new head once it has been written.
+    pub(super) fn handle_reply(&mut self, answer: PlatformAnswer) -> Option<KnownHead> {
         self.call = None;
-        let work = self.work.as_mut()?;
-        match (answer.reply, work.next_head.take()) {
+        let snapshot_write = self.snapshot_write.as_mut()?;
+        match (answer.reply, snapshot_write.next_head.take()) {
             (PlatformReply::Written(version), Some(head)) => {
-                self.garbage = work.replaced();
-                self.work = None;
+                self.obsolete_objects = snapshot_write.replaced_objects();
+                self.snapshot_write = None;
                 Some(KnownHead {
                     head,
                     version: Some(version),
                 })
             }
-            // A page that is there already was written by an earlier try at the same revision, from
-            // the same entries.
+            // A page that already exists was written by an earlier attempt at the same revision,
+            // from the same entries.
             (PlatformReply::Written(_) | PlatformReply::Conflict, None) => {
-                work.written += 1;
+                snapshot_write.written += 1;
                 None
             }
-            // The head moved on, or the platform did not answer: a later tick starts over. Pages of
-            // a snapshot that no head names are overwritten by nobody and read by nobody.
+            // The head changed, or the platform did not respond: a later tick starts over. Snapshot
+            // pages that no head refers to are never read or overwritten.
             _ => {
-                self.work = None;
+                self.snapshot_write = None;
                 None
             }
         }
     }
 }
 
-impl Work {
+impl SnapshotWrite {
     fn new(base: &KnownHead, state: &CatalogueState) -> Self {
-        let pages = pages(state.as_changes());
+        let pages = split_into_pages(state.as_changes());
         let count = u32::try_from(pages.len()).unwrap_or(u32::MAX);
         let snapshot = SnapshotRef {
             revision: state.revision,
@@ -99,7 +109,7 @@
 
     fn next(&mut self) -> PlatformOp {
         if let Some(value) = self.pages.get(self.written as usize) {
-            let name = self.snapshot.object(self.written);
+            let name = self.snapshot.object_name(self.written);
             return PlatformOp::Put {
                 name,
                 value: value.clone(),
@@ -120,23 +130,23 @@
         }
     }
 
-    /// Names of the objects that the snapshot replaced.
-    fn replaced(&self) -> Vec<ObjectName> {
-        let old = self.base.head.snapshot;
-        let pages = old
+    /// Returns the names of the objects that the snapshot replaced.
+    fn replaced_objects(&self) -> Vec<ObjectName> {
+        let old_snapshot = self.base.head.snapshot;
+        let pages = old_snapshot
             .into_iter()
-            .flat_map(|of| (0..of.pages).map(move |page| of.object(page)));
+            .flat_map(|snapshot| (0..snapshot.pages).map(move |page| snapshot.object_name(page)));
         let logs = self
             .base
             .head
-            .after(self.base.head.snapshot_revision())
-            .map(super::head::LogRef::object);
+            .changes_after(self.base.head.snapshot_revision())
+            .map(super::head::LogRef::object_name);
         pages.chain(logs).collect()
     }
 }
 
 impl CatalogueState {
-    /// The changes that build these entries from nothing.
+    /// Returns the changes that build these entries from an empty catalogue.
     pub(super) fn as_changes(&self) -> impl Iterator<Item = Change> {
         let workspaces = self.workspaces().cloned().map(Change::PutWorkspace);
         let keys = self.keys().cloned().map(Change::IssueKey);
--- a/crates/core/src/catalogue/core.rs
+++ b/crates/core/src/catalogue/core.rs
@@ -1,4 +1,5 @@
-//! The catalogue state machine: which revision is in force here, and for how long that is sure.
+//! The catalogue state machine: the revision in force on this instance, and how long it is
+//! confirmed to be current.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,97 +16,97 @@
 use super::compact::Compaction;
 use super::head::{Head, head_object};
 use super::reader::{Reader, ReaderStep};
-use super::recent::Recent;
+use super::recent::RecentChanges;
 use super::writer::{Writer, WriterStep};
 use super::{CatalogueMessage, CatalogueState, ChangeRequest};
 
-/// Pause before a read that failed is tried again.
-const READ_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a failed read is retried.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The head as last read or written.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(super) struct KnownHead {
-    /// Its content.
+    /// The content of the head.
     pub head: Head,
-    /// Its version in the platform; none while there is no such object.
+    /// The object's version in the platform; `None` while the object does not exist.
     pub version: Option<ObjectVersion>,
 }
 
-/// Follows the catalogue, proves it current and writes operators' changes.
+/// Follows the catalogue, confirms that it is current, and writes operators' changes.
 #[derive(Debug, Default)]
 pub struct Catalogue {
     state: CatalogueState,
-    loaded: bool,
+    is_loaded: bool,
     head: KnownHead,
-    adopted: Time,
-    announced: Revision,
+    adopted_at: Time,
+    announced_revision: Revision,
     fresh_until: Time,
-    unsure_since: Option<Time>,
-    head_read: Option<Time>,
-    next_read: Time,
-    wanted: Revision,
-    proof: Option<Proof>,
+    uncertain_since: Option<Time>,
+    head_read_sent_at: Option<Time>,
+    next_read_at: Time,
+    latest_known_revision: Revision,
+    pending_proof: Option<Proof>,
     reader: Reader,
-    pushed: BTreeMap<Revision, ChangeRequest>,
-    recent: Recent,
-    /// The highest revision that a majority was known to have in force.
-    held: Revision,
+    pushed_changes: BTreeMap<Revision, ChangeRequest>,
+    recent_changes: RecentChanges,
+    /// The highest revision known to be in force on a majority of instances.
+    majority_revision: Revision,
     writer: Writer,
     compaction: Compaction,
-    calls: u64,
+    last_call: u64,
 }
 
-/// A head read that proves the catalogue current once its revision is in force here.
+/// A head read that confirms the catalogue as current once the head's revision is in force here.
 #[derive(Clone, Copy, Debug)]
 struct Proof {
-    asked: Time,
+    sent_at: Time,
     revision: Revision,
 }
 
-/// How current the catalogue is here, for status pages.
+/// The state of the catalogue on this instance, for status pages.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct CatalogueStatus {
-    /// The revision in force here.
+    /// The revision in force on this instance.
     pub revision: Revision,
-    /// It is proved current.
+    /// Whether the revision is confirmed to be current.
     pub fresh: bool,
-    /// Changes of operators under way here.
+    /// Number of operators' changes in progress on this instance.
     pub pending_changes: usize,
 }
 
 impl Catalogue {
-    /// The entries in force here.
+    /// Returns the entries in force on this instance.
     #[must_use]
     pub const fn state(&self) -> &CatalogueState {
         &self.state
     }
 
-    /// Whether the platform's catalogue was read at least once in this life.
+    /// Whether the catalogue was read from the platform at least once in this incarnation.
     #[must_use]
     pub const fn is_loaded(&self) -> bool {
-        self.loaded
+        self.is_loaded
     }
 
-    /// Whether the entries in force here are proved current.
+    /// Whether the entries in force on this instance are confirmed to be current.
     ///
-    /// Guards against a withdrawn key that goes on working at an instance that is cut off: such an
-    /// instance finds neither the platform nor a majority, and its last proof runs out.
+    /// Guards against a withdrawn key that keeps working on a partitioned instance: such an instance
+    /// reaches neither the platform nor a majority, so its last confirmation expires.
     #[must_use]
     pub fn is_fresh(&self, now: Time) -> bool {
-        self.loaded && now < self.fresh_until
+        self.is_loaded && now < self.fresh_until
     }
 
-    /// The revision to report in heartbeats.
+    /// Returns the revision to report in heartbeats.
     #[must_use]
-    pub const fn reported(&self) -> Revision {
-        if self.loaded && self.unsure_since.is_none() {
+    pub const fn reported_revision(&self) -> Revision {
+        if self.is_loaded && self.uncertain_since.is_none() {
             self.state.revision
         } else {
             Revision::UNSURE
         }
     }
 
-    /// A summary for status pages.
+    /// Returns a summary for status pages.
     #[must_use]
     pub fn status(&self, now: Time) -> CatalogueStatus {
         CatalogueStatus {
@@ -115,68 +116,72 @@
         }
     }
 
-    /// An operator's change; answered by [`Action::Applied`].
-    pub fn change(&mut self, cx: &mut Cx<'_>, request: ChangeRequest) {
+    /// Submits an operator's change. [`Action::Applied`] reports its outcome.
+    pub fn submit(&mut self, cx: &mut Cx<'_>, request: ChangeRequest) {
         self.writer.enqueue(cx.now, request);
-        self.write_on(cx);
+        self.advance_writer(cx);
     }
 
-    /// A watch saw the head change.
-    pub fn head_hint(&mut self, cx: &mut Cx<'_>) {
-        self.wanted = self.wanted.max(self.state.revision.next());
+    /// Handles a watch event that the head changed.
+    pub fn head_changed(&mut self, cx: &mut Cx<'_>) {
+        self.latest_known_revision = self.latest_known_revision.max(self.state.revision.next());
         self.read_if_due(cx);
     }
 
-    /// A newer map is in force.
+    /// Handles the adoption of a newer map.
     ///
-    /// Guards against a change that only lives on at instances which the new map dropped: the rest
-    /// would prove an older revision current among themselves. A head read that was sent after the
-    /// map came in force shows that change, so until then this instance is not sure.
+    /// Guards against a change that is known only to instances which the new map removed: the
+    /// remaining instances would confirm an older revision to each other. A head read that was sent
+    /// after the adoption shows such a change, so this instance is uncertain until that read.
     pub fn map_changed(&mut self, cx: &mut Cx<'_>) {
-        self.held = Revision::default();
-        self.unsure_since = Some(cx.now);
-        self.next_read = cx.now;
+        self.majority_revision = Revision::default();
+        self.uncertain_since = Some(cx.now);
+        self.next_read_at = cx.now;
         self.read_if_due(cx);
     }
 
-    /// Time passed; `quorum` is what a majority says of the catalogue.
+    /// Handles everything that has become due. `quorum` is the catalogue state that a majority
+    /// reports.
     pub fn tick(&mut self, cx: &mut Cx<'_>, quorum: Option<CatalogueQuorum>) {
-        self.take_quorum(cx, quorum);
+        self.apply_quorum(cx, quorum);
         self.read_if_due(cx);
-        self.write_on(cx);
+        self.advance_writer(cx);
         self.compact(cx);
     }
 
-    /// Takes a message.
+    /// Handles a message from another instance.
     pub fn message(&mut self, cx: &mut Cx<'_>, from: &InstanceId, message: CatalogueMessage) {
         match message {
             CatalogueMessage::Push { revision, change } => {
-                self.take_push(cx, revision, change);
+                self.handle_push(cx, revision, change);
+            }
+            CatalogueMessage::RequestMissing { revision } => {
+                self.send_missing_changes(cx, from, revision);
             }
-            CatalogueMessage::Missing { revision } => self.make_up(cx, from, revision),
         }
     }
 
-    /// Takes an answer to `CatalogueHead`, `CatalogueRead` or `CatalogueWrite`.
+    /// Handles the reply to a platform call of purpose `CatalogueHead`, `CatalogueRead` or
+    /// `CatalogueWrite`.
     pub fn platform(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
         match answer.purpose {
-            PlatformPurpose::CatalogueHead => self.take_head(cx, &answer),
-            PlatformPurpose::CatalogueRead => self.take_read(cx, &answer),
-            PlatformPurpose::CatalogueWrite => self.take_write(cx, answer),
+            PlatformPurpose::CatalogueHead => self.handle_head(cx, &answer),
+            PlatformPurpose::CatalogueRead => self.handle_read(cx, &answer),
+            PlatformPurpose::CatalogueWrite => self.handle_write(cx, answer),
             _ => {}
         }
     }
 
-    fn take_quorum(&mut self, cx: &Cx<'_>, quorum: Option<CatalogueQuorum>) {
+    fn apply_quorum(&mut self, cx: &Cx<'_>, quorum: Option<CatalogueQuorum>) {
         let Some(quorum) = quorum else {
             return;
         };
-        self.held = self.held.max(quorum.majority_revision);
-        if !self.loaded || self.unsure_since.is_some() {
+        self.majority_revision = self.majority_revision.max(quorum.majority_revision);
+        if !self.is_loaded || self.uncertain_since.is_some() {
             return;
         }
         if quorum.highest > self.state.revision {
-            self.wanted = self.wanted.max(quorum.highest);
+            self.latest_known_revision = self.latest_known_revision.max(quorum.highest);
             return;
         }
         self.fresh_until = self
@@ -185,33 +190,34 @@
     }
 
     fn read_if_due(&mut self, cx: &mut Cx<'_>) {
-        if self.head_read.is_some() || self.reader.is_busy() || cx.now < self.next_read {
+        if self.head_read_sent_at.is_some() || self.reader.is_busy() || cx.now < self.next_read_at {
             return;
         }
-        let behind =
-            !self.loaded || self.wanted > self.state.revision || self.unsure_since.is_some();
-        let running_out = self.fresh_until.since(cx.now) < cx.own.map.terms.lease_duration / 2;
-        if behind || running_out || self.writer.wants_head() {
+        let is_behind = !self.is_loaded
+            || self.latest_known_revision > self.state.revision
+            || self.uncertain_since.is_some();
+        let expires_soon = self.fresh_until.since(cx.now) < cx.own.map.terms.lease_duration / 2;
+        if is_behind || expires_soon || self.writer.needs_head() {
             self.read_head(cx);
         }
     }
 
     fn read_head(&mut self, cx: &mut Cx<'_>) {
-        self.head_read = Some(cx.now);
+        self.head_read_sent_at = Some(cx.now);
         let op = PlatformOp::Get {
             name: head_object(),
         };
         self.call(cx, PlatformPurpose::CatalogueHead, op);
     }
 
-    fn take_head(&mut self, cx: &mut Cx<'_>, answer: &PlatformAnswer) {
-        self.head_read = None;
+    fn handle_head(&mut self, cx: &mut Cx<'_>, answer: &PlatformAnswer) {
+        self.head_read_sent_at = None;
         let PlatformReply::Got(found) = &answer.reply else {
-            self.next_read = cx.now + READ_PAUSE;
+            self.next_read_at = cx.now + READ_RETRY_DELAY;
             if answer.reply == PlatformReply::Unavailable {
-                self.writer.head_refused(cx, answer.asked);
+                self.writer.head_unavailable(cx, answer.asked);
             }
-            self.ask_peers(cx);
+            self.request_missing_changes(cx);
             return;
         };
         let known = match found {
@@ -222,41 +228,41 @@
                     version: Some(versioned.version),
                 },
                 Err(_malformed) => {
-                    self.next_read = cx.now + READ_PAUSE;
+                    self.next_read_at = cx.now + READ_RETRY_DELAY;
                     cx.out
                         .push(Action::Notice(Notice::ObjectMalformed(head_object())));
                     return;
                 }
             },
         };
-        // Guards against a platform restored from an old copy, or a read that lags: the catalogue
-        // in force would revert. A lower revision proves nothing and changes nothing.
-        if self.loaded && known.head.revision < self.state.revision {
-            self.next_read = cx.now + READ_PAUSE;
+        // Guards against a platform restored from an old copy and against stale reads, which would
+        // revert the catalogue in force. A lower revision confirms nothing and changes nothing.
+        if self.is_loaded && known.head.revision < self.state.revision {
+            self.next_read_at = cx.now + READ_RETRY_DELAY;
             cx.out
                 .push(Action::Notice(Notice::CatalogueBehind(known.head.revision)));
             return;
         }
-        self.proof = Some(Proof {
-            asked: answer.asked,
+        self.pending_proof = Some(Proof {
+            sent_at: answer.asked,
             revision: known.head.revision,
         });
-        self.wanted = known.head.revision;
+        self.latest_known_revision = known.head.revision;
         self.head = known;
         self.catch_up(cx);
     }
 
     fn catch_up(&mut self, cx: &mut Cx<'_>) {
         let step = self.reader.start(&self.head.head, &self.state);
-        self.carry_out_read(cx, step);
+        self.execute_read_step(cx, step);
     }
 
-    fn take_read(&mut self, cx: &mut Cx<'_>, answer: &PlatformAnswer) {
-        let step = self.reader.answer(answer, &mut self.state);
-        self.carry_out_read(cx, step);
+    fn handle_read(&mut self, cx: &mut Cx<'_>, answer: &PlatformAnswer) {
+        let step = self.reader.handle_reply(answer, &mut self.state);
+        self.execute_read_step(cx, step);
     }
 
-    fn carry_out_read(&mut self, cx: &mut Cx<'_>, step: ReaderStep) {
+    fn execute_read_step(&mut self, cx: &mut Cx<'_>, step: ReaderStep) {
         match step {
             ReaderStep::Idle => {}
             ReaderStep::Read(objects) => {
@@ -265,84 +271,87 @@
                         name: object.name(),
                     };
                     let id = self.call(cx, PlatformPurpose::CatalogueRead, op);
-                    self.reader.asked(id, object);
+                    self.reader.read_sent(id, object);
                 }
             }
-            ReaderStep::Done => self.reached(cx),
-            ReaderStep::Failed => self.next_read = cx.now + READ_PAUSE,
+            ReaderStep::Done => self.finish_catch_up(cx),
+            ReaderStep::Failed => self.next_read_at = cx.now + READ_RETRY_DELAY,
             ReaderStep::Malformed(name) => {
-                self.next_read = cx.now + READ_PAUSE;
+                self.next_read_at = cx.now + READ_RETRY_DELAY;
                 cx.out.push(Action::Notice(Notice::ObjectMalformed(name)));
             }
         }
     }
 
-    /// The entries reached the head that was read.
-    fn reached(&mut self, cx: &mut Cx<'_>) {
-        self.loaded = true;
-        self.apply_pushed();
+    /// Completes a catch-up: the entries have reached the head that was read.
+    fn finish_catch_up(&mut self, cx: &mut Cx<'_>) {
+        self.is_loaded = true;
+        self.apply_pushed_changes();
         if let Some(proof) = self
-            .proof
+            .pending_proof
             .take_if(|proof| proof.revision <= self.state.revision)
         {
             self.fresh_until = self
                 .fresh_until
-                .max(proof.asked + cx.own.map.terms.lease_duration);
-            if self.unsure_since.is_some_and(|since| proof.asked >= since) {
-                self.unsure_since = None;
+                .max(proof.sent_at + cx.own.map.terms.lease_duration);
+            if self
+                .uncertain_since
+                .is_some_and(|since| proof.sent_at >= since)
+            {
+                self.uncertain_since = None;
             }
         }
         self.writer.head_reached();
-        self.adopted_if_newer(cx);
-        self.write_on(cx);
+        self.announce_if_newer(cx);
+        self.advance_writer(cx);
     }
 
-    fn take_push(&mut self, cx: &mut Cx<'_>, revision: Revision, change: ChangeRequest) {
+    fn handle_push(&mut self, cx: &mut Cx<'_>, revision: Revision, change: ChangeRequest) {
         if revision > self.state.revision {
-            self.pushed.insert(revision, change);
-            self.wanted = self.wanted.max(revision);
+            self.pushed_changes.insert(revision, change);
+            self.latest_known_revision = self.latest_known_revision.max(revision);
         }
-        if self.loaded && !self.reader.is_busy() {
-            self.apply_pushed();
+        if self.is_loaded && !self.reader.is_busy() {
+            self.apply_pushed_changes();
         }
-        self.adopted_if_newer(cx);
+        self.announce_if_newer(cx);
         self.read_if_due(cx);
     }
 
-    /// Applies pushed changes that follow on without a gap; a pushed change is one that the head
-    /// holds already.
-    fn apply_pushed(&mut self) {
-        self.pushed
+    /// Applies the pushed changes that follow the current revision without a gap. The head already
+    /// contains every pushed change.
+    fn apply_pushed_changes(&mut self) {
+        self.pushed_changes
             .retain(|revision, _change| *revision > self.state.revision);
-        while let Some(change) = self.pushed.remove(&self.state.revision.next()) {
+        while let Some(change) = self.pushed_changes.remove(&self.state.revision.next()) {
             if self.state.apply(&change).is_err() {
                 return;
             }
-            self.recent.keep(self.state.revision, &change);
+            self.recent_changes.insert(self.state.revision, &change);
         }
     }
 
-    /// Asks the peers for changes that the platform can't give now.
+    /// Requests from the peers the changes that can't be read from the platform now.
     ///
-    /// Guards against a push that was lost right before an outage: each heartbeat would tell this
-    /// instance that it is behind, and it would refuse everybody until the platform is back.
-    fn ask_peers(&self, cx: &mut Cx<'_>) {
-        if !self.loaded || self.wanted <= self.state.revision {
+    /// Guards against a push that was lost right before an outage: each heartbeat would show this
+    /// instance that it is behind, and it would refuse all requests until the platform is back.
+    fn request_missing_changes(&self, cx: &mut Cx<'_>) {
+        if !self.is_loaded || self.latest_known_revision <= self.state.revision {
             return;
         }
         for id in peers(cx) {
             send(
                 cx,
                 &id,
-                CatalogueMessage::Missing {
+                CatalogueMessage::RequestMissing {
                     revision: self.state.revision,
                 },
             );
         }
     }
 
-    fn make_up(&self, cx: &mut Cx<'_>, to: &InstanceId, revision: Revision) {
-        for (revision, change) in self.recent.after(revision) {
+    fn send_missing_changes(&self, cx: &mut Cx<'_>, to: &InstanceId, revision: Revision) {
+        for (revision, change) in self.recent_changes.after(revision) {
             send(
                 cx,
                 to,
@@ -354,56 +363,57 @@
         }
     }
 
-    fn adopted_if_newer(&mut self, cx: &mut Cx<'_>) {
-        if self.announced == self.state.revision {
+    fn announce_if_newer(&mut self, cx: &mut Cx<'_>) {
+        if self.announced_revision == self.state.revision {
             return;
         }
-        self.announced = self.state.revision;
-        self.adopted = cx.now;
+        self.announced_revision = self.state.revision;
+        self.adopted_at = cx.now;
         cx.out.push(Action::Notice(Notice::CatalogueAdopted(
             self.state.revision,
         )));
     }
 
-    fn write_on(&mut self, cx: &mut Cx<'_>) {
-        if !self.loaded || self.reader.is_busy() {
-            self.writer.give_up_late(cx);
+    fn advance_writer(&mut self, cx: &mut Cx<'_>) {
+        if !self.is_loaded || self.reader.is_busy() {
+            self.writer.expire_overdue(cx);
             return;
         }
         let step = self.writer.step(cx, &self.head, &self.state);
-        self.carry_out_write(cx, step);
-        self.writer.settle(cx, self.held);
+        self.execute_write_step(cx, step);
+        self.writer.complete_replicated(cx, self.majority_revision);
     }
 
-    fn carry_out_write(&mut self, cx: &mut Cx<'_>, step: WriterStep) {
+    fn execute_write_step(&mut self, cx: &mut Cx<'_>, step: WriterStep) {
         match step {
             WriterStep::Idle => {}
             WriterStep::ReadHead => self.read_if_due(cx),
             WriterStep::Call(op) => {
                 let id = self.call(cx, PlatformPurpose::CatalogueWrite, op);
-                self.writer.asked(id);
+                self.writer.call_sent(id);
             }
             WriterStep::Committed { head, request } => {
                 let revision = head.head.revision;
-                // Guards against a change that is applied twice: a read of the head may overtake the
-                // write's own answer, and then the entries hold the change already. Their revision
-                // would run ahead of the head's, and no later change could follow it.
+                // Guards against applying a change twice. A read of the head may finish before the
+                // reply to the write arrives, and the entries then contain the change already. A
+                // second application would move their revision ahead of the head's, and no later
+                // change could follow.
                 if revision > self.head.head.revision {
                     self.head = head;
                 }
                 if revision == self.state.revision.next() {
-                    self.committed(cx, &request);
+                    self.apply_committed(cx, &request);
                 }
             }
         }
     }
 
-    fn committed(&mut self, cx: &mut Cx<'_>, request: &ChangeRequest) {
+    fn apply_committed(&mut self, cx: &mut Cx<'_>, request: &ChangeRequest) {
         if self.state.apply(request).is_err() {
             return;
         }
         let revision = self.state.revision;
-        self.recent.keep(revision, request);
+        self.recent_changes.insert(revision, request);
         for id in peers(cx) {
             send(
                 cx,
@@ -414,42 +424,42 @@
                 },
             );
         }
-        self.adopted_if_newer(cx);
+        self.announce_if_newer(cx);
     }
 
-    fn take_write(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
-        if self.compaction.owns(answer.id) {
-            self.take_compaction(cx, answer);
+    fn handle_write(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+        if self.compaction.is_awaiting(answer.id) {
+            self.handle_compaction_write(cx, answer);
             return;
         }
-        let step = self.writer.answer(cx, &answer, &self.head);
-        self.carry_out_write(cx, step);
-        self.write_on(cx);
+        let step = self.writer.handle_reply(cx, &answer, &self.head);
+        self.execute_write_step(cx, step);
+        self.advance_writer(cx);
     }
 
     fn compact(&mut self, cx: &mut Cx<'_>) {
-        let may = cx.own.may_act(cx.now, &OwnershipKey::Catalogue)
+        let can_compact = cx.own.may_act(cx.now, &OwnershipKey::Catalogue)
             && self.writer.len() == 0
             && !self.reader.is_busy();
-        if !may || self.head.head.revision != self.state.revision {
+        if !can_compact || self.head.head.revision != self.state.revision {
             return;
         }
         if let Some(op) = self.compaction.next(&self.head, &self.state) {
             let id = self.call(cx, PlatformPurpose::CatalogueWrite, op);
-            self.compaction.asked(id);
+            self.compaction.call_sent(id);
         }
     }
 
-    fn take_compaction(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
-        if let Some(head) = self.compaction.answer(answer) {
+    fn handle_compaction_write(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+        if let Some(head) = self.compaction.handle_reply(answer) {
             self.head = head;
         }
         self.compact(cx);
     }
 
     fn call(&mut self, cx: &mut Cx<'_>, purpose: PlatformPurpose, op: PlatformOp) -> CallId {
-        self.calls += 1;
-        let id = CallId(self.calls);
+        self.last_call += 1;
+        let id = CallId(self.last_call);
         cx.out
             .push(Action::Platform(PlatformCall { id, purpose, op }));
         id
--- a/crates/core/src/catalogue/document.rs
+++ b/crates/core/src/catalogue/document.rs
@@ -1,4 +1,4 @@
-//! The catalogue as operators write it, and what changes from one to another.
+//! The catalogue as operators write it, and the changes between two documents.
 
 use std::collections::BTreeMap;
 
@@ -6,9 +6,9 @@
 
 use super::{AdapterEntry, CatalogueState, Change, ServiceEntry, WorkspaceEntry};
 
-/// What operators write: workspaces, adapters and services.
+/// The document that operators write: workspaces, adapters and services.
 ///
-/// Keys are issued and withdrawn one by one and are no part of it.
+/// Keys are issued and withdrawn individually and are not part of the document.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Document {
@@ -21,7 +21,7 @@
 }
 
 impl Document {
-    /// The entries in force, each list by name.
+    /// Creates a document of the entries in `state`, each list sorted by name.
     #[must_use]
     pub fn of(state: &CatalogueState) -> Self {
         let mut adapters: Vec<_> = state.adapters().cloned().collect();
@@ -33,15 +33,15 @@
         }
     }
 
-    /// The changes that turn these entries into those of `new`.
+    /// Returns the changes that turn this document into `new`.
     ///
-    /// What others lean on comes first and goes last: a workspace is there before its adapters, and
-    /// goes after them.
+    /// Entries that others refer to are added first and removed last: a workspace is added before
+    /// its adapters and removed after them.
     #[must_use]
     pub fn changes_to(&self, new: &Self) -> Vec<Change> {
-        let workspaces = Difference::of(&self.workspaces, &new.workspaces, |entry| &entry.id);
-        let adapters = Difference::of(&self.adapters, &new.adapters, |entry| &entry.id);
-        let services = Difference::of(&self.services, &new.services, |entry| &entry.id);
+        let workspaces = ListDiff::of(&self.workspaces, &new.workspaces, |entry| &entry.id);
+        let adapters = ListDiff::of(&self.adapters, &new.adapters, |entry| &entry.id);
+        let services = ListDiff::of(&self.services, &new.services, |entry| &entry.id);
         let puts = (workspaces.put.into_iter().map(Change::PutWorkspace))
             .chain(adapters.put.into_iter().map(Change::PutAdapter))
             .chain(services.put.into_iter().map(Change::PutService));
@@ -52,13 +52,13 @@
     }
 }
 
-/// What differs between two lists of one kind of entry.
-struct Difference<K, V> {
+/// The difference between two lists of entries of the same type.
+struct ListDiff<K, V> {
     put: Vec<V>,
     removed: Vec<K>,
 }
 
-impl<K: Clone + Ord, V: Clone + Eq> Difference<K, V> {
+impl<K: Clone + Ord, V: Clone + Eq> ListDiff<K, V> {
     fn of(old: &[V], new: &[V], key: impl Fn(&V) -> &K) -> Self {
         let old: BTreeMap<_, _> = old.iter().map(|entry| (key(entry), entry)).collect();
         let new: BTreeMap<_, _> = new.iter().map(|entry| (key(entry), entry)).collect();
--- a/crates/core/src/catalogue/entry.rs
+++ b/crates/core/src/catalogue/entry.rs
@@ -8,21 +8,21 @@
     AdapterId, AdapterVersion, BaseModel, KeyDigest, KeyId, Rate, ServiceId, Tokens, WorkspaceId,
 };
 
-/// How pressing an adapter's work is.
+/// The priority class of an adapter's requests.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum WorkClass {
-    /// Someone is waiting at a counter or a desk.
+    /// A person is waiting for the response.
     #[default]
     Urgent,
-    /// Overnight work.
+    /// Batch requests, such as those that run overnight.
     Batch,
 }
 
 impl WorkClass {
-    /// Whether someone is waiting for it.
+    /// Whether a person is waiting for the response.
     #[must_use]
     pub const fn is_urgent(self) -> bool {
         matches!(self, Self::Urgent)
@@ -33,21 +33,21 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceEntry {
-    /// Its name.
+    /// The entry's name.
     pub id: WorkspaceId,
-    /// Tokens a second over all instances.
+    /// Tokens per second over all instances.
     pub rate: Rate,
-    /// Tokens that it may use at once over all instances.
+    /// Tokens that the workspace may use at once over all instances.
     pub burst: Tokens,
 }
 
-/// A workspace's key, as far as it is kept.
+/// A workspace's key. Only its digest is stored.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyEntry {
-    /// Its public name.
+    /// The key's public name.
     pub id: KeyId,
-    /// Whose it is.
+    /// The workspace that the key belongs to.
     pub workspace: WorkspaceId,
     /// Digest of the key.
     pub digest: KeyDigest,
@@ -57,21 +57,21 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdapterEntry {
-    /// Its name.
+    /// The entry's name.
     pub id: AdapterId,
-    /// The workspace that owns it, and alone may use it.
+    /// The workspace that owns the adapter. Only this workspace may use it.
     pub owner: WorkspaceId,
-    /// The base model it belongs to.
+    /// The base model that the adapter extends.
     pub base_model: BaseModel,
-    /// The version that runs where a caller names none.
+    /// The version that runs if the caller names none.
     pub current: AdapterVersion,
     /// Earlier versions that callers may still name.
     #[serde(default)]
     pub also: BTreeSet<AdapterVersion>,
-    /// How pressing its work is.
+    /// The priority class of the adapter's requests.
     #[serde(default)]
     pub class: WorkClass,
-    /// The longest answer it gives.
+    /// The maximum length of a response.
     pub max_answer: Tokens,
 }
 
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEntry {
-    /// Its name.
+    /// The entry's name.
     pub id: ServiceId,
     /// The workspaces that may call it.
     pub workspaces: BTreeSet<WorkspaceId>,
--- a/crates/core/src/catalogue/head.rs
+++ b/crates/core/src/catalogue/head.rs
@@ -7,52 +7,52 @@
 
 use super::ChangeRequest;
 
-/// Largest change or page, in bytes of JSON; below the platform's limit of a megabyte.
+/// Maximum size of a change or page, in bytes of JSON. Below the platform's limit of a megabyte.
 pub const MAX_OBJECT_BYTES: usize = 900_000;
 
-/// How many change ids the head remembers beyond its snapshot, so that a retry of one of them is
-/// recognised and not applied twice.
-pub const REMEMBERED_CHANGES: usize = 256;
+/// Minimum number of change ids that the head keeps, also for changes that the snapshot contains,
+/// so that a retry of such a change is recognised and not applied twice.
+pub const MIN_REMEMBERED_CHANGES: usize = 256;
 
-/// How many log objects gather before a snapshot replaces them.
-pub const COMPACT_AFTER: usize = 128;
+/// Number of log objects at which a snapshot replaces them.
+pub const COMPACTION_THRESHOLD: usize = 128;
 
-/// Bytes of JSON after which a snapshot page is full.
-const PAGE_BYTES: usize = 500_000;
+/// Size at which a snapshot page is full, in bytes of JSON.
+const FULL_PAGE_BYTES: usize = 500_000;
 
-/// The head object: the one place that decides which change has which revision.
+/// The head object. It alone decides which change has which revision.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Head {
     /// The revision in force.
     pub revision: Revision,
-    /// The snapshot to start from; none for an empty catalogue.
+    /// The snapshot to start from; `None` starts from an empty catalogue.
     pub snapshot: Option<SnapshotRef>,
     /// The latest changes, oldest first.
     pub tail: Vec<LogRef>,
 }
 
-/// Where a snapshot's pages are.
+/// A reference to the pages of a snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct SnapshotRef {
-    /// The revision that it holds.
+    /// The revision of the snapshot.
     pub revision: Revision,
-    /// How many pages it has.
+    /// Number of pages.
     pub pages: u32,
 }
 
-/// Where a change is.
+/// A reference to the log object of a change.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct LogRef {
-    /// The revision that it gave.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// Its author's name for it.
+    /// The change id, chosen by the change's author.
     pub change: ChangeId,
-    /// Its content's hash; part of its object's name.
+    /// Hash of the change's content; part of the object's name.
     pub content: u64,
 }
 
 impl Head {
-    /// The revision that `change` gave, if the head remembers it.
+    /// Returns the revision that `change` created, if the head still lists the change.
     #[must_use]
     pub fn revision_of(&self, change: &ChangeId) -> Option<Revision> {
         self.tail
@@ -61,12 +61,12 @@
             .map(|log| log.revision)
     }
 
-    /// The log entries after `revision`.
-    pub fn after(&self, revision: Revision) -> impl Iterator<Item = &LogRef> {
+    /// Returns the references to the changes after `revision`.
+    pub fn changes_after(&self, revision: Revision) -> impl Iterator<Item = &LogRef> {
         self.tail.iter().filter(move |log| log.revision > revision)
     }
 
-    /// The revision up to which the snapshot reaches.
+    /// Returns the revision of the snapshot, or zero without a snapshot.
     #[must_use]
     pub fn snapshot_revision(&self) -> Revision {
         self.snapshot
@@ -74,17 +74,17 @@
             .unwrap_or_default()
     }
 
-    /// The head after one more change.
+    /// Returns the head after one more change.
     #[must_use]
-    pub fn with(&self, log: LogRef) -> Self {
+    pub fn with_change(&self, log: LogRef) -> Self {
         let mut next = self.clone();
         next.revision = log.revision;
         next.tail.push(log);
-        next.forget_old();
+        next.trim_tail();
         next
     }
 
-    /// The head after a snapshot of its own revision.
+    /// Returns the head with a snapshot of the current revision.
     #[must_use]
     pub fn compacted(&self, pages: u32) -> Self {
         let mut next = self.clone();
@@ -92,24 +92,24 @@
             revision: self.revision,
             pages,
         });
-        next.forget_old();
+        next.trim_tail();
         next
     }
 
-    fn forget_old(&mut self) {
+    fn trim_tail(&mut self) {
         let needed = self
-            .after(self.snapshot_revision())
+            .changes_after(self.snapshot_revision())
             .count()
-            .max(REMEMBERED_CHANGES);
+            .max(MIN_REMEMBERED_CHANGES);
         let surplus = self.tail.len().saturating_sub(needed);
         self.tail.drain(..surplus);
     }
 }
 
 impl LogRef {
-    /// The entry of `request` at `revision`, with its log object's value.
+    /// Returns the reference to `request` at `revision`, and the value of its log object.
     #[must_use]
-    pub fn of(request: &ChangeRequest, revision: Revision) -> (Self, Box<str>) {
+    pub fn for_request(request: &ChangeRequest, revision: Revision) -> (Self, Box<str>) {
         let value = to_json(request);
         let content = xxh3_64(value.as_bytes());
         (
@@ -122,13 +122,13 @@
         )
     }
 
-    /// Name of the log object.
+    /// Returns the name of the log object.
     ///
-    /// The content's hash is part of it: two writers that race for one revision write two objects,
-    /// and only the one that the head names counts.
+    /// The name contains the content's hash: two writers that race for one revision write two
+    /// objects, and only the one that the head refers to is used.
     #[must_use]
-    pub fn object(&self) -> ObjectName {
-        object(&format!(
+    pub fn object_name(&self) -> ObjectName {
+        legal_object_name(&format!(
             "catalogue-log-{}-{:016x}",
             self.revision, self.content
         ))
@@ -136,22 +136,22 @@
 }
 
 impl SnapshotRef {
-    /// Name of one page's object.
+    /// Returns the name of a page's object.
     #[must_use]
-    pub fn object(&self, page: u32) -> ObjectName {
-        object(&format!("catalogue-page-{}-{page}", self.revision))
+    pub fn object_name(&self, page: u32) -> ObjectName {
+        legal_object_name(&format!("catalogue-page-{}-{page}", self.revision))
     }
 }
 
-/// Name of the head object.
+/// Returns the name of the head object.
 #[must_use]
 pub fn head_object() -> ObjectName {
-    object("catalogue-head")
+    legal_object_name("catalogue-head")
 }
 
-/// Cuts items into pages of JSON below the platform's limit.
+/// Splits items into pages of JSON below the platform's size limit.
 #[must_use]
-pub fn pages<T: Serialize>(items: impl Iterator<Item = T>) -> Vec<Box<str>> {
+pub fn split_into_pages<T: Serialize>(items: impl Iterator<Item = T>) -> Vec<Box<str>> {
     let mut pages = Vec::new();
     let mut page = String::from("[");
     for item in items {
@@ -159,7 +159,7 @@
             page.push(',');
         }
         page.push_str(&to_json(&item));
-        if page.len() >= PAGE_BYTES {
+        if page.len() >= FULL_PAGE_BYTES {
             page.push(']');
             pages.push(std::mem::replace(&mut page, String::from("[")).into_boxed_str());
         }
@@ -169,7 +169,7 @@
     pages
 }
 
-/// JSON of one of our own types.
+/// Serialises a type of the catalogue as JSON.
 #[expect(
     clippy::expect_used,
     reason = "these types hold no maps with other keys than text, the only cause of an error"
@@ -184,6 +184,6 @@
     clippy::expect_used,
     reason = "all names given here are short and of legal letters"
 )]
-fn object(name: &str) -> ObjectName {
+fn legal_object_name(name: &str) -> ObjectName {
     ObjectName::try_from(name).expect("object names made here are legal")
 }
--- a/crates/core/src/catalogue/message.rs
+++ b/crates/core/src/catalogue/message.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of the catalogue.
+//! Messages between instances about the catalogue.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,20 +6,21 @@
 
 use super::ChangeRequest;
 
-/// Catalogue changes between instances; they save the platform reads and the watch its delay.
+/// A message about catalogue changes between instances. These messages save reads from the platform
+/// and avoid the delay of the watch.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum CatalogueMessage {
-    /// A change just written.
+    /// A change that was just written, or that the receiver has requested.
     Push {
-        /// The revision that it gives.
+        /// The revision that the change created.
         revision: Revision,
         /// The change.
         change: ChangeRequest,
     },
-    /// The sender knows that it is behind and can't read the platform: it wants what comes after
-    /// this revision.
-    Missing {
-        /// The revision that it has in force.
+    /// Requests the changes after `revision`. The sender knows that it is behind and can't read the
+    /// platform.
+    RequestMissing {
+        /// The revision in force on the sender.
         revision: Revision,
     },
 }
--- a/crates/core/src/catalogue/mod.rs
+++ b/crates/core/src/catalogue/mod.rs
@@ -1,7 +1,8 @@
-//! The catalogue: what operators write.
+//! The catalogue of workspaces, keys, adapters and services that operators maintain.
 //!
-//! One log object per change under a head object that is changed by conditional update, and
-//! snapshot pages under a megabyte. The head's revision only grows.
+//! It is stored as one log object per change, snapshot pages of less than a megabyte each, and a
+//! head object that refers to them and is changed by conditional updates. The head's revision only
+//! increases.
 
 mod change;
 mod compact;
--- a/crates/core/src/catalogue/reader.rs
+++ b/crates/core/src/catalogue/reader.rs
@@ -1,4 +1,5 @@
-//! Catching up with a head: reads the log objects, or the snapshot and the log objects after it.
+//! Catching up with a head by reading the log objects, or the snapshot and the log objects after
+//! it.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +9,25 @@
 use super::head::{Head, LogRef, SnapshotRef};
 use super::{CatalogueState, Change, ChangeRequest};
 
-/// Most objects read at once.
+/// Maximum number of objects read at once.
 const MAX_READS: usize = 256;
 
-/// What is to be read next.
+/// The next step of a catch-up.
 #[derive(Debug)]
 pub(super) enum ReaderStep {
-    /// Nothing, until answers come.
+    /// Nothing to do until replies arrive.
     Idle,
-    /// These objects.
+    /// Read these objects.
     Read(Vec<CatalogueObject>),
     /// The entries have reached the head.
     Done,
-    /// A read failed or an object is gone: start over from the head.
+    /// A read failed or an object no longer exists: start over from the head.
     Failed,
-    /// An object does not parse.
+    /// An object can't be parsed.
     Malformed(ObjectName),
 }
 
-/// An object that holds a part of the catalogue.
+/// An object that stores a part of the catalogue.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum CatalogueObject {
     /// One change.
@@ -36,31 +37,31 @@
 }
 
 impl CatalogueObject {
-    /// Its name in the platform.
+    /// Returns the object's name in the platform.
     pub(super) fn name(&self) -> ObjectName {
         match self {
-            Self::Log(log) => log.object(),
-            Self::Page(snapshot, page) => snapshot.object(*page),
+            Self::Log(log) => log.object_name(),
+            Self::Page(snapshot, page) => snapshot.object_name(*page),
         }
     }
 }
 
-/// Reads what lies between the entries in force and a head.
+/// Reads the changes between the entries in force and a head.
 #[derive(Debug, Default)]
 pub(super) struct Reader {
-    target: Option<Head>,
+    target_head: Option<Head>,
     pending: BTreeMap<CallId, CatalogueObject>,
     pages: BTreeMap<u32, Vec<Change>>,
     logs: BTreeMap<Revision, ChangeRequest>,
 }
 
 impl Reader {
-    /// Whether a catch-up is under way.
+    /// Whether a catch-up is in progress.
     pub(super) const fn is_busy(&self) -> bool {
-        self.target.is_some()
+        self.target_head.is_some()
     }
 
-    /// Starts to catch up from `state` to `head`.
+    /// Starts a catch-up from `state` to `head`.
     pub(super) fn start(&mut self, head: &Head, state: &CatalogueState) -> ReaderStep {
         if head.revision == state.revision {
             return ReaderStep::Done;
@@ -69,22 +70,22 @@
             .snapshot
             .filter(|snapshot| snapshot.revision > state.revision);
         let from = snapshot.map_or(state.revision, |snapshot| snapshot.revision);
-        let pages = snapshot
-            .into_iter()
-            .flat_map(|of| (0..of.pages).map(move |page| CatalogueObject::Page(of, page)));
-        let logs = head.after(from).cloned().map(CatalogueObject::Log);
+        let pages = snapshot.into_iter().flat_map(|snapshot| {
+            (0..snapshot.pages).map(move |page| CatalogueObject::Page(snapshot, page))
+        });
+        let logs = head.changes_after(from).cloned().map(CatalogueObject::Log);
         let objects: Vec<_> = pages.chain(logs).take(MAX_READS).collect();
-        self.target = Some(head.clone());
+        self.target_head = Some(head.clone());
         ReaderStep::Read(objects)
     }
 
-    /// A read was sent.
-    pub(super) fn asked(&mut self, id: CallId, object: CatalogueObject) {
+    /// Records that a read was sent.
+    pub(super) fn read_sent(&mut self, id: CallId, object: CatalogueObject) {
         self.pending.insert(id, object);
     }
 
-    /// Takes a read's answer; brings `state` up to the head once all are there.
-    pub(super) fn answer(
+    /// Handles the reply to a read. Updates `state` to the head once all replies have arrived.
+    pub(super) fn handle_reply(
         &mut self,
         answer: &PlatformAnswer,
         state: &mut CatalogueState,
@@ -93,10 +94,10 @@
             return ReaderStep::Idle;
         };
         let PlatformReply::Got(Some(found)) = &answer.reply else {
-            return self.fail();
+            return self.reset();
         };
-        if !self.take(&object, &found.value) {
-            self.fail();
+        if !self.store(&object, &found.value) {
+            self.reset();
             return ReaderStep::Malformed(object.name());
         }
         if !self.pending.is_empty() {
@@ -105,7 +106,7 @@
         self.finish(state)
     }
 
-    fn take(&mut self, object: &CatalogueObject, value: &str) -> bool {
+    fn store(&mut self, object: &CatalogueObject, value: &str) -> bool {
         match object {
             CatalogueObject::Log(log) => serde_json::from_str(value)
                 .map(|request| self.logs.insert(log.revision, request))
@@ -117,16 +118,16 @@
     }
 
     fn finish(&mut self, state: &mut CatalogueState) -> ReaderStep {
-        let Some(head) = self.target.take() else {
+        let Some(head) = self.target_head.take() else {
             return ReaderStep::Idle;
         };
         if !self.pages.is_empty() {
             let changes = std::mem::take(&mut self.pages).into_values().flatten();
-            *state = CatalogueState::restored(head.snapshot_revision(), changes);
+            *state = CatalogueState::from_snapshot(head.snapshot_revision(), changes);
         }
         for (revision, request) in std::mem::take(&mut self.logs) {
-            let follows = revision == state.revision.next();
-            if follows && state.apply(&request).is_err() {
+            let is_next = revision == state.revision.next();
+            if is_next && state.apply(&request).is_err() {
                 return ReaderStep::Failed;
             }
         }
@@ -137,7 +138,7 @@
         }
     }
 
-    fn fail(&mut self) -> ReaderStep {
+    fn reset(&mut self) -> ReaderStep {
         *self = Self::default();
         ReaderStep::Failed
     }
--- a/crates/core/src/catalogue/recent.rs
+++ b/crates/core/src/catalogue/recent.rs
@@ -1,4 +1,4 @@
-//! The latest changes, kept for peers that missed them.
+//! Recent changes, kept for peers that missed them.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,32 @@
 use super::ChangeRequest;
 use super::head::to_json;
 
-/// How many changes are kept.
-const KEPT: usize = 64;
+/// Maximum number of changes kept.
+const MAX_CHANGES: usize = 64;
 
-/// Larger changes, in bytes of JSON, are not kept; a peer reads them from the platform.
-const MAX_KEPT_BYTES: usize = 16_384;
+/// Maximum size of a kept change, in bytes of JSON. Peers read larger changes from the platform.
+const MAX_CHANGE_BYTES: usize = 16_384;
 
-/// The latest changes by the revision that they gave.
+/// Recent changes by the revision that they created.
 #[derive(Debug, Default)]
-pub(super) struct Recent {
+pub(super) struct RecentChanges {
     changes: BTreeMap<Revision, ChangeRequest>,
 }
 
-impl Recent {
-    /// Keeps a change that is in force.
-    pub(super) fn keep(&mut self, revision: Revision, change: &ChangeRequest) {
-        if to_json(change).len() > MAX_KEPT_BYTES {
+impl RecentChanges {
+    /// Adds a change that is in force.
+    pub(super) fn insert(&mut self, revision: Revision, change: &ChangeRequest) {
+        if to_json(change).len() > MAX_CHANGE_BYTES {
             return;
         }
         self.changes.insert(revision, change.clone());
-        if self.changes.len() > KEPT {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_first();
         }
     }
 
-    /// The changes after `revision`, without a gap; none if one of them is not kept.
+    /// Returns the kept changes after `revision`. Returns nothing if the first change after
+    /// `revision` is not kept.
     pub(super) fn after(
         &self,
         revision: Revision,
--- a/crates/core/src/catalogue/state.rs
+++ b/crates/core/src/catalogue/state.rs
@@ -1,4 +1,4 @@
-//! The catalogue's content at one revision.
+//! The content of the catalogue at one revision.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 /// All entries of the catalogue at one revision.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct CatalogueState {
-    /// The revision.
+    /// The revision of the entries.
     pub revision: Revision,
     workspaces: BTreeMap<WorkspaceId, WorkspaceEntry>,
     keys: BTreeMap<KeyId, KeyEntry>,
@@ -22,19 +22,19 @@
 }
 
 impl CatalogueState {
-    /// The workspace's entry.
+    /// Returns the workspace's entry.
     #[must_use]
     pub fn workspace(&self, id: &WorkspaceId) -> Option<&WorkspaceEntry> {
         self.workspaces.get(id)
     }
 
-    /// The key with this digest, unless it is unknown or withdrawn.
+    /// Returns the key with this digest, unless it is unknown or withdrawn.
     #[must_use]
     pub fn key(&self, digest: &KeyDigest) -> Option<&KeyEntry> {
         self.keys.get(self.keys_by_digest.get(digest)?)
     }
 
-    /// Whether the key of this name is the workspace's and not withdrawn.
+    /// Whether the key `id` belongs to the workspace and is not withdrawn.
     #[must_use]
     pub fn has_key(&self, id: &KeyId, workspace: &WorkspaceId) -> bool {
         self.keys
@@ -42,43 +42,43 @@
             .is_some_and(|entry| entry.workspace == *workspace)
     }
 
-    /// The adapter's entry.
+    /// Returns the adapter's entry.
     #[must_use]
     pub fn adapter(&self, id: &AdapterId) -> Option<&AdapterEntry> {
         self.adapters.get(id)
     }
 
-    /// The service's entry.
+    /// Returns the service's entry.
     #[must_use]
     pub fn service(&self, id: &ServiceId) -> Option<&ServiceEntry> {
         self.services.get(id)
     }
 
-    /// All workspaces, by name.
+    /// Returns all workspaces, sorted by name.
     pub fn workspaces(&self) -> impl Iterator<Item = &WorkspaceEntry> {
         self.workspaces.values()
     }
 
-    /// All keys, by name.
+    /// Returns all keys, sorted by name.
     pub fn keys(&self) -> impl Iterator<Item = &KeyEntry> {
         self.keys.values()
     }
 
-    /// All adapters, in no order.
+    /// Returns all adapters, in no particular order.
     pub fn adapters(&self) -> impl Iterator<Item = &AdapterEntry> {
         self.adapters.values()
     }
 
-    /// All services, by name.
+    /// Returns all services, sorted by name.
     pub fn services(&self) -> impl Iterator<Item = &ServiceEntry> {
         self.services.values()
     }
 
-    /// The state after `request`, at the next revision.
+    /// Applies `request` and moves to the next revision.
     ///
     /// # Errors
-    /// [`CoreError::InvalidChange`] if one of its changes contradicts the entries; `self` is then
-    /// left as it was.
+    /// [`CoreError::InvalidChange`] if one of the changes contradicts the entries; `self` is then
+    /// unchanged.
     pub fn apply(&mut self, request: &ChangeRequest) -> Result<(), CoreError> {
         self.check(request)?;
         for change in &request.changes {
@@ -88,12 +88,12 @@
         Ok(())
     }
 
-    /// Whether `request` could be applied.
+    /// Checks whether `request` can be applied.
     ///
     /// # Errors
-    /// [`CoreError::InvalidChange`] if one of its changes contradicts the entries.
+    /// [`CoreError::InvalidChange`] if one of the changes contradicts the entries.
     pub fn check(&self, request: &ChangeRequest) -> Result<(), CoreError> {
-        let mut trial = Trial {
+        let mut validation = Validation {
             base: self,
             workspaces: BTreeMap::new(),
             keys: BTreeMap::new(),
@@ -102,11 +102,11 @@
         request
             .changes
             .iter()
-            .try_for_each(|change| trial.check(change))
+            .try_for_each(|change| validation.check(change))
     }
 
-    /// The entries that `changes`, taken from a snapshot of `revision`, build from nothing.
-    pub(super) fn restored(revision: Revision, changes: impl Iterator<Item = Change>) -> Self {
+    /// Builds the entries at `revision` from the changes of a snapshot.
+    pub(super) fn from_snapshot(revision: Revision, changes: impl Iterator<Item = Change>) -> Self {
         let mut state = Self {
             revision,
             ..Self::default()
@@ -164,10 +164,11 @@
 }
 
 impl AdapterEntry {
-    /// The version that runs for a caller who asked for `asked`.
+    /// Returns the version to run for a caller that requested `requested`, or `None` if callers may not
+    /// use that version.
     #[must_use]
-    pub fn version(&self, asked: Option<AdapterVersion>) -> Option<AdapterVersion> {
-        match asked {
+    pub fn version(&self, requested: Option<AdapterVersion>) -> Option<AdapterVersion> {
+        match requested {
             None => Some(self.current),
             Some(version) => {
                 (version == self.current || self.also.contains(&version)).then_some(version)
@@ -176,15 +177,15 @@
     }
 }
 
-/// Checks the changes of one request one after the other without copying the catalogue.
-struct Trial<'a> {
+/// Checks the changes of one request in order, without copying the catalogue.
+struct Validation<'a> {
     base: &'a CatalogueState,
     workspaces: BTreeMap<WorkspaceId, bool>,
     keys: BTreeMap<KeyId, Option<KeyDigest>>,
     owners: BTreeMap<AdapterId, Option<WorkspaceId>>,
 }
 
-impl Trial<'_> {
+impl Validation<'_> {
     fn check(&mut self, change: &Change) -> Result<(), CoreError> {
         match change {
             Change::PutWorkspace(entry) => self.put_workspace(entry),
@@ -221,14 +222,15 @@
         }
     }
 
-    fn digest_taken(&self, digest: &KeyDigest) -> bool {
-        let here = self.keys.values().flatten().any(|other| other == digest);
-        let withdrawn = |id: &KeyId| matches!(self.keys.get(id), Some(None));
-        here || self
-            .base
-            .keys_by_digest
-            .get(digest)
-            .is_some_and(|id| !withdrawn(id))
+    fn is_digest_used(&self, digest: &KeyDigest) -> bool {
+        let is_issued_here = self.keys.values().flatten().any(|other| other == digest);
+        let is_withdrawn = |id: &KeyId| matches!(self.keys.get(id), Some(None));
+        is_issued_here
+            || self
+                .base
+                .keys_by_digest
+                .get(digest)
+                .is_some_and(|id| !is_withdrawn(id))
     }
 
     fn has_adapter(&self, id: &AdapterId) -> bool {
@@ -274,7 +276,7 @@
 
     fn issue_key(&mut self, entry: &KeyEntry) -> Result<(), CoreError> {
         self.require_workspace(&entry.workspace)?;
-        if self.has_key(&entry.id) || self.digest_taken(&entry.digest) {
+        if self.has_key(&entry.id) || self.is_digest_used(&entry.digest) {
             return Err(invalid(&format!(
                 "key `{}` is issued already: choose another name or key",
                 entry.id
--- a/crates/core/src/catalogue/writer.rs
+++ b/crates/core/src/catalogue/writer.rs
@@ -1,7 +1,8 @@
-//! Operators' changes on their way into the catalogue.
+//! Writes operators' changes to the catalogue.
 //!
-//! A change becomes a log object, then part of the head by conditional update. A write whose answer
-//! was lost is settled by looking for the change id in the head.
+//! A change is first written as a log object and then added to the head by a conditional update. If
+//! the reply to a write is lost, looking for the change id in the head shows whether it took
+//! effect.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,43 +14,43 @@
 use super::head::{Head, LogRef, MAX_OBJECT_BYTES, head_object, to_json};
 use super::{ApplyOutcome, CatalogueState, ChangeRequest};
 
-/// How long a change may take before its author is told that its fate is not known.
-const CHANGE_PATIENCE: Duration = Duration::from_secs(5);
+/// How long a change may take before its outcome is reported as unknown.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is to be done next for the change at the front.
+/// The next step for the change at the front of the queue.
 #[derive(Debug)]
 pub(super) enum WriterStep {
-    /// Nothing now.
+    /// Nothing to do.
     Idle,
     /// Read the head first.
     ReadHead,
-    /// Make this write.
+    /// Make this platform call.
     Call(PlatformOp),
-    /// The head holds the change: this is the head now.
+    /// The change is part of the head.
     Committed {
         /// The new head.
         head: KnownHead,
-        /// The change that it holds.
+        /// The change that was added.
         request: ChangeRequest,
     },
 }
 
-/// Writes changes one after the other.
+/// Writes changes one at a time.
 #[derive(Debug, Default)]
 pub(super) struct Writer {
     queue: VecDeque<Pending>,
-    spreading: Vec<Spreading>,
+    committed_changes: Vec<CommittedChange>,
     call: Option<CallId>,
 }
 
 #[derive(Debug)]
 struct Pending {
     request: ChangeRequest,
-    came: Time,
-    give_up: Time,
+    received_at: Time,
+    deadline: Time,
     stage: Stage,
-    /// A write of the head went unanswered: it may have taken effect.
-    in_doubt: bool,
+    /// A write of the head got no reply, so it may have taken effect.
+    is_in_doubt: bool,
 }
 
 #[derive(Debug)]
@@ -65,44 +66,44 @@
 }
 
 #[derive(Debug)]
-struct Spreading {
+struct CommittedChange {
     request: ChangeRequest,
     revision: Revision,
-    written: Time,
-    give_up: Time,
+    written_at: Time,
+    deadline: Time,
 }
 
 impl Writer {
-    /// How many changes are under way.
+    /// Returns the number of changes in progress.
     pub(super) fn len(&self) -> usize {
-        self.queue.len() + self.spreading.len()
+        self.queue.len() + self.committed_changes.len()
     }
 
-    /// Whether the change at the front waits for a head read.
-    pub(super) fn wants_head(&self) -> bool {
+    /// Whether the change at the front of the queue waits for a head read.
+    pub(super) fn needs_head(&self) -> bool {
         self.queue
             .front()
             .is_some_and(|pending| matches!(pending.stage, Stage::NeedsHead))
     }
 
-    /// Takes an operator's change.
+    /// Queues an operator's change.
     pub(super) fn enqueue(&mut self, now: Time, request: ChangeRequest) {
-        let give_up = now + CHANGE_PATIENCE;
+        let deadline = now + CHANGE_TIMEOUT;
         self.queue.push_back(Pending {
             request,
-            came: now,
-            give_up,
+            received_at: now,
+            deadline,
             stage: Stage::NeedsHead,
-            in_doubt: false,
+            is_in_doubt: false,
         });
     }
 
-    /// A write was sent.
-    pub(super) const fn asked(&mut self, id: CallId) {
+    /// Records that a call was sent.
+    pub(super) const fn call_sent(&mut self, id: CallId) {
         self.call = Some(id);
     }
 
-    /// A head was read and the entries have reached it.
+    /// Records that a head was read and the entries have reached it.
     pub(super) fn head_reached(&mut self) {
         if let Some(pending) = self
             .queue
@@ -113,29 +114,31 @@
         }
     }
 
-    /// The platform refused a head read that was sent at `asked`.
+    /// Handles a head read that was sent at `sent_at` and that the platform rejected as
+    /// unavailable.
     ///
-    /// A read that went unanswered is tried again, and one that was sent before the change came says
-    /// nothing of now: its author would be told that nothing changed by a platform that answers.
-    pub(super) fn head_refused(&mut self, cx: &mut Cx<'_>, asked: Time) {
+    /// A read without a reply is retried. A read that was sent before the change arrived is
+    /// ignored, because the platform may be available again, and the change would be reported as
+    /// failed anyway.
+    pub(super) fn head_unavailable(&mut self, cx: &mut Cx<'_>, sent_at: Time) {
         let Some(pending) = self.queue.front() else {
             return;
         };
-        let waits = matches!(pending.stage, Stage::NeedsHead) && !pending.in_doubt;
-        if waits && asked >= pending.came {
+        let is_waiting = matches!(pending.stage, Stage::NeedsHead) && !pending.is_in_doubt;
+        if is_waiting && sent_at >= pending.received_at {
             self.finish(cx, ApplyOutcome::Unavailable);
         }
     }
 
-    /// Goes on with the change at the front; the catalogue calls it when its entries have reached
-    /// the head that it last read.
+    /// Advances the change at the front of the queue. The catalogue calls this when its entries
+    /// have reached the head that it last read.
     pub(super) fn step(
         &mut self,
         cx: &mut Cx<'_>,
         head: &KnownHead,
         state: &CatalogueState,
     ) -> WriterStep {
-        self.give_up_late(cx);
+        self.expire_overdue(cx);
         if self.call.is_some() {
             return WriterStep::Idle;
         }
@@ -147,10 +150,10 @@
                 return WriterStep::ReadHead;
             }
             if let Some(revision) = head.head.revision_of(&pending.request.id) {
-                self.spread(cx.now, revision);
+                self.mark_committed(cx.now, revision);
                 continue;
             }
-            match refusal(pending, state) {
+            match rejection(pending, state) {
                 Some(outcome) => self.finish(cx, outcome),
                 None => return self.write_log(state.revision.next()),
             }
@@ -162,8 +165,8 @@
         let Some(pending) = self.queue.front_mut() else {
             return WriterStep::Idle;
         };
-        let (log, value) = LogRef::of(&pending.request, revision);
-        let name = log.object();
+        let (log, value) = LogRef::for_request(&pending.request, revision);
+        let name = log.object_name();
         pending.stage = Stage::Log(log);
         WriterStep::Call(PlatformOp::Put {
             name,
@@ -172,8 +175,8 @@
         })
     }
 
-    /// Takes a write's answer.
-    pub(super) fn answer(
+    /// Handles the reply to a call.
+    pub(super) fn handle_reply(
         &mut self,
         cx: &mut Cx<'_>,
         answer: &PlatformAnswer,
@@ -187,13 +190,13 @@
             return WriterStep::Idle;
         };
         match std::mem::replace(&mut pending.stage, Stage::NeedsHead) {
-            Stage::Log(log) => self.log_answered(cx, &answer.reply, log, known),
-            Stage::Head(head) => self.head_answered(cx, &answer.reply, head),
+            Stage::Log(log) => self.handle_log_reply(cx, &answer.reply, log, known),
+            Stage::Head(head) => self.handle_head_reply(cx, &answer.reply, head),
             Stage::NeedsHead | Stage::Ready => WriterStep::Idle,
         }
     }
 
-    fn log_answered(
+    fn handle_log_reply(
         &mut self,
         cx: &mut Cx<'_>,
         reply: &PlatformReply,
@@ -201,7 +204,8 @@
         known: &KnownHead,
     ) -> WriterStep {
         match reply {
-            // An object of this name holds this very change: the name has its content's hash.
+            // An existing object of this name contains the same change, because the name includes
+            // the hash of its content.
             PlatformReply::Written(_) | PlatformReply::Conflict => self.write_head(log, known),
             PlatformReply::Unavailable => self.fail_unless_in_doubt(cx),
             _ => WriterStep::ReadHead,
@@ -215,7 +219,7 @@
         if log.revision != known.head.revision.next() {
             return WriterStep::ReadHead;
         }
-        let head = known.head.with(log);
+        let head = known.head.with_change(log);
         let value = to_json(&head);
         pending.stage = Stage::Head(head);
         let expected = known.version.map_or(Expected::Absent, Expected::Version);
@@ -226,10 +230,15 @@
         })
     }
 
-    fn head_answered(&mut self, cx: &mut Cx<'_>, reply: &PlatformReply, head: Head) -> WriterStep {
+    fn handle_head_reply(
+        &mut self,
+        cx: &mut Cx<'_>,
+        reply: &PlatformReply,
+        head: Head,
+    ) -> WriterStep {
         match reply {
             PlatformReply::Written(version) => {
-                let Some(request) = self.spread(cx.now, head.revision) else {
+                let Some(request) = self.mark_committed(cx.now, head.revision) else {
                     return WriterStep::Idle;
                 };
                 WriterStep::Committed {
@@ -243,10 +252,10 @@
             PlatformReply::Unavailable => self.fail_unless_in_doubt(cx),
             PlatformReply::Conflict => WriterStep::ReadHead,
             _ => {
-                // The write may still take effect, even after the next read: the change is only
-                // ever tried again under the same id, and never called undone from here on.
+                // The write may still take effect, even after the next read. From here on the
+                // change is only retried under the same id and is never reported as not applied.
                 if let Some(pending) = self.queue.front_mut() {
-                    pending.in_doubt = true;
+                    pending.is_in_doubt = true;
                 }
                 WriterStep::ReadHead
             }
@@ -254,69 +263,76 @@
     }
 
     fn fail_unless_in_doubt(&mut self, cx: &mut Cx<'_>) -> WriterStep {
-        if self.queue.front().is_some_and(|pending| pending.in_doubt) {
+        if self
+            .queue
+            .front()
+            .is_some_and(|pending| pending.is_in_doubt)
+        {
             return WriterStep::ReadHead;
         }
         self.finish(cx, ApplyOutcome::Unavailable);
         WriterStep::Idle
     }
 
-    fn spread(&mut self, now: Time, revision: Revision) -> Option<ChangeRequest> {
+    fn mark_committed(&mut self, now: Time, revision: Revision) -> Option<ChangeRequest> {
         let pending = self.queue.pop_front()?;
         let request = pending.request.clone();
-        self.spreading.push(Spreading {
+        self.committed_changes.push(CommittedChange {
             request: pending.request,
             revision,
-            written: now,
-            give_up: pending.give_up,
+            written_at: now,
+            deadline: pending.deadline,
         });
         Some(request)
     }
 
-    /// Answers the changes that are known to a majority.
+    /// Reports the changes that are known to a majority as accepted.
     ///
-    /// Guards against a change that is accepted and then unknown to every instance that is left. It
-    /// takes a majority of a map that was proved current after the change was written: whoever
-    /// joins later reads a head that holds it.
-    pub(super) fn settle(&mut self, cx: &mut Cx<'_>, held: Revision) {
-        let proved = cx.own.lease_expires_at - cx.own.map.terms.lease_duration;
-        let has_standing = cx.own.has_lease(cx.now);
-        let mut settled = Vec::new();
-        self.spreading.retain(|change| {
-            let accepted = held >= change.revision && has_standing && proved >= change.written;
-            let outcome = if accepted {
+    /// Guards against a change that is reported as accepted and then unknown to all remaining
+    /// instances. The majority must be that of a map that was confirmed after the change was
+    /// written; instances that join later read a head that contains the change.
+    pub(super) fn complete_replicated(&mut self, cx: &mut Cx<'_>, majority_revision: Revision) {
+        let confirmed_at = cx.own.lease_expires_at - cx.own.map.terms.lease_duration;
+        let has_lease = cx.own.has_lease(cx.now);
+        let mut completed = Vec::new();
+        self.committed_changes.retain(|change| {
+            let is_accepted = majority_revision >= change.revision
+                && has_lease
+                && confirmed_at >= change.written_at;
+            let outcome = if is_accepted {
                 ApplyOutcome::Accepted {
                     revision: change.revision,
                 }
-            } else if cx.now >= change.give_up {
+            } else if cx.now >= change.deadline {
                 ApplyOutcome::Unknown
             } else {
                 return true;
             };
-            settled.push(Action::Applied {
+            completed.push(Action::Applied {
                 change: change.request.id.clone(),
                 outcome,
             });
             false
         });
-        cx.out.append(&mut settled);
+        cx.out.append(&mut completed);
     }
 
-    /// Answers the changes that took too long.
-    pub(super) fn give_up_late(&mut self, cx: &mut Cx<'_>) {
+    /// Reports the changes that have timed out.
+    pub(super) fn expire_overdue(&mut self, cx: &mut Cx<'_>) {
         while self
             .queue
             .front()
-            .is_some_and(|pending| cx.now >= pending.give_up)
+            .is_some_and(|pending| cx.now >= pending.deadline)
         {
-            // Without a write of the head under way or in doubt, nothing can have changed.
-            let safe = self.queue.front().is_some_and(|pending| {
-                !pending.in_doubt && !matches!(pending.stage, Stage::Head(_))
+            // Nothing can have changed unless a write of the head is in flight or has an unknown
+            // result.
+            let is_unchanged = self.queue.front().is_some_and(|pending| {
+                !pending.is_in_doubt && !matches!(pending.stage, Stage::Head(_))
             });
             self.call = None;
             self.finish(
                 cx,
-                if safe {
+                if is_unchanged {
                     ApplyOutcome::Unavailable
                 } else {
                     ApplyOutcome::Unknown
@@ -335,18 +351,18 @@
     }
 }
 
-/// Why a change can't be written, if it can't.
-fn refusal(pending: &Pending, state: &CatalogueState) -> Option<ApplyOutcome> {
+/// Returns the outcome of a change that can't be written, or `None` if it can be written.
+fn rejection(pending: &Pending, state: &CatalogueState) -> Option<ApplyOutcome> {
     let request = &pending.request;
-    // A change in doubt may be in force and forgotten by the head only after hundreds of others;
-    // nothing sure can be said of it.
-    let outdated = request
+    // A change in doubt may be in force and already removed from the head's list, which takes
+    // hundreds of later changes. Its outcome is therefore unknown.
+    let is_outdated = request
         .expected
         .is_some_and(|expected| expected != state.revision);
-    if outdated && pending.in_doubt {
+    if is_outdated && pending.is_in_doubt {
         return Some(ApplyOutcome::Unknown);
     }
-    if outdated {
+    if is_outdated {
         return Some(ApplyOutcome::Stale {
             revision: state.revision,
         });
--- a/crates/core/src/instance/core.rs
+++ b/crates/core/src/instance/core.rs
@@ -178,7 +178,7 @@
                 outcome,
             } => self.order_ended(now, id, &target, outcome),
             Event::Request { id, event } => self.request(now, id, event),
-            Event::Change(request) => self.catalogue.change(cx!(self, now), request),
+            Event::Change(request) => self.catalogue.submit(cx!(self, now), request),
             Event::Stop => self.stop(now),
         }
     }
@@ -189,7 +189,7 @@
 
     fn tick(&mut self, now: Time) {
         self.membership
-            .tick(now, self.catalogue.reported(), &mut self.out);
+            .tick(now, self.catalogue.reported_revision(), &mut self.out);
         if self.catalogue.is_loaded() {
             self.membership.set_ready(now);
         }
@@ -223,7 +223,7 @@
     fn message(&mut self, now: Time, from: &InstanceId, message: PeerMessage) {
         match message {
             PeerMessage::Membership(message) => {
-                let catalogue = self.catalogue.reported();
+                let catalogue = self.catalogue.reported_revision();
                 self.membership
                     .message(now, from, message, catalogue, &mut self.out);
             }
@@ -280,7 +280,7 @@
     fn platform_changed(&mut self, now: Time, name: &ObjectName) {
         match name.as_str() {
             "map" => self.membership.map_hint(now, &mut self.out),
-            "catalogue-head" => self.catalogue.head_hint(cx!(self, now)),
+            "catalogue-head" => self.catalogue.head_changed(cx!(self, now)),
             _ => {}
         }
     }
--- a/crates/core/src/instance/status.rs
+++ b/crates/core/src/instance/status.rs
@@ -71,7 +71,10 @@
 
     fn catalogues(&self) -> Vec<InstanceCatalogue> {
         let map = &self.own().map;
-        let mine = (self.own().local.clone(), Some(self.catalogue.reported()));
+        let mine = (
+            self.own().local.clone(),
+            Some(self.catalogue.reported_revision()),
+        );
         let told: Vec<_> = self
             .membership
             .reported_catalogues()
