--- a/crates/core/examples/catalogue_slopes.rs
+++ b/crates/core/examples/catalogue_slopes.rs
@@ -1,4 +1,5 @@
-//! What a catalogue costs by its size: memory, objects in the platform, time to load and to change.
+//! Measures how memory, the number of platform objects, load time and change time grow with the
+//! size of the catalogue.
 //!
 //! Run with `cargo run --release -p bluebellstage-core --example catalogue_slopes`.
 
@@ -23,11 +24,11 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for adapters in SIZES {
-        row(adapters);
+        print_row(adapters);
     }
 }
 
-fn row(adapters: u32) {
+fn print_row(adapters: u32) {
     let before = resident_kib();
     let changes = entries(adapters);
     let json = serde_json::to_string(&changes).expect("entries are JSON");
@@ -38,8 +39,8 @@
     let (bytes, pages) = (json.len(), json.len().div_ceil(PAGE_BYTES));
     drop(json);
     let resident = resident_kib().saturating_sub(before);
-    let change = time_of_change(state.clone());
-    let lookup = time_of_lookup(&state, adapters);
+    let change = measure_change(state.clone());
+    let lookup = measure_lookup(&state, adapters);
     println!(
         "| {adapters} | {} | {resident} | {} | {pages} | {:.1} | {:.1} | {:.0} |",
         adapters / ADAPTERS_PER_WORKSPACE,
@@ -102,7 +103,7 @@
     }
 }
 
-fn time_of_change(mut state: CatalogueState) -> Duration {
+fn measure_change(mut state: CatalogueState) -> Duration {
     const CHANGES: u32 = 1_000;
     let requests: Vec<_> = (0..CHANGES)
         .map(|number| request(vec![Change::PutAdapter(adapter(number, 2))]))
@@ -114,7 +115,7 @@
     started.elapsed() / CHANGES
 }
 
-fn time_of_lookup(state: &CatalogueState, adapters: u32) -> Duration {
+fn measure_lookup(state: &CatalogueState, adapters: u32) -> Duration {
     let names: Vec<_> = (0..LOOKUPS)
         .map(|number| adapter(number % adapters, 1).id)
         .collect();
--- a/crates/core/examples/journal_slopes.rs
+++ b/crates/core/examples/journal_slopes.rs
@@ -1,17 +1,18 @@
-//! How the journal's load on the platform grows with calls; the table of docs/design/journal.md.
+//! Measures how the journal's load on the platform grows with the number of calls, and prints the
+//! table of docs/design/journal.md.
 //!
-//! `cargo run --release -p bluebellstage-core --example journal_slopes`. Virtual time: a call to
-//! the platform takes up to 10 ms.
+//! Run with `cargo run --release -p bluebellstage-core --example journal_slopes`. Time is virtual;
+//! a call to the platform takes up to 10 ms.
 
-#[expect(dead_code, reason = "the bench needs a part of it")]
+#[expect(dead_code, reason = "this example uses only a part of it")]
 #[path = "../tests/support/journal_fleet.rs"]
 mod journal_fleet;
 #[path = "../tests/support/journal_platform.rs"]
 mod journal_platform;
-#[expect(dead_code, reason = "the bench needs a part of it")]
+#[expect(dead_code, reason = "this example uses only a part of it")]
 #[path = "../tests/support/journal_service.rs"]
 mod journal_service;
-#[expect(dead_code, reason = "the bench needs a part of it")]
+#[expect(dead_code, reason = "this example uses only a part of it")]
 #[path = "../tests/support/rates_membership.rs"]
 mod rates_membership;
 
@@ -19,39 +20,39 @@
 use journal_fleet::{Fleet, workspace};
 use rates_membership::instance;
 
-/// Virtual seconds of each measurement.
+/// Duration of each measurement in virtual seconds.
 const SECONDS: u64 = 10;
 
-/// Steps of 5 ms in a second.
+/// Number of 5 ms steps per second.
 const STEPS: u64 = 200;
 
-fn row(calls_per_second: u64, answer_bytes: usize) {
+fn print_row(calls_per_second: u64, response_bytes: usize) {
     let mut fleet = Fleet::new(3, 1, Tuning::default());
-    fleet.answer_bytes = answer_bytes;
-    let mut asked = 0;
+    fleet.response_bytes = response_bytes;
+    let mut sent_count = 0;
     for step in 0..SECONDS * STEPS {
-        while asked * STEPS < step * calls_per_second {
-            let at = instance(usize::try_from(asked % 3).expect("small"));
-            fleet.ask(&at, &workspace(0), &format!("key-{asked}"), 1);
-            asked += 1;
+        while sent_count * STEPS < step * calls_per_second {
+            let id = instance(usize::try_from(sent_count % 3).expect("small"));
+            fleet.send_request(&id, &workspace(0), &format!("key-{sent_count}"), 1);
+            sent_count += 1;
         }
         fleet.run(5);
     }
     fleet.run(2_000);
-    fleet.check();
+    fleet.check_invariants();
     let decided = fleet
-        .asked
+        .attempts
         .values()
-        .filter_map(|asked| Some(asked.decided_at? - asked.at));
+        .filter_map(|attempt| Some(attempt.decided_at? - attempt.sent_at));
     let mut waits: Vec<_> = decided.collect();
     waits.sort_unstable();
     let (objects, longest, kept) = fleet.platform.size();
-    let per_call = |value: u64| value / asked;
+    let per_call = |value: u64| value / sent_count;
     println!(
-        "| {calls_per_second} | {answer_bytes} | {} | {}.{:02} | {} | {} | {objects} | {longest} | {} | {} |",
+        "| {calls_per_second} | {response_bytes} | {} | {}.{:02} | {} | {} | {objects} | {longest} | {} | {} |",
         fleet.platform.writes / SECONDS,
-        fleet.platform.writes / asked,
-        fleet.platform.writes * 100 / asked % 100,
+        fleet.platform.writes / sent_count,
+        fleet.platform.writes * 100 / sent_count % 100,
         per_call(fleet.platform.bytes),
         per_call(kept),
         waits[waits.len() / 2] / 1_000,
@@ -65,8 +66,8 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for calls_per_second in [1, 10, 100, 500] {
-        row(calls_per_second, 200);
+        print_row(calls_per_second, 200);
     }
-    row(100, 2_000);
-    row(100, 16_000);
+    print_row(100, 2_000);
+    print_row(100, 16_000);
 }
--- a/crates/core/tests/catalogue_order.rs
+++ b/crates/core/tests/catalogue_order.rs
@@ -1,4 +1,4 @@
-//! Answers of the platform reach an instance in any order.
+//! Tests that the catalogue handles platform replies that arrive in any order.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,21 +12,21 @@
 
 const HEAD: &str = "catalogue-head";
 
-/// One instance and a platform whose answer to one write is held back.
-struct Alone {
+/// One instance and a simulated platform that can delay the replies to writes of the head.
+struct SingleInstance {
     instance: Instance,
     now: u64,
     objects: BTreeMap<String, Versioned>,
     version: u64,
-    holds_head_writes: bool,
-    held: Vec<PlatformAnswer>,
+    delays_head_writes: bool,
+    delayed_replies: Vec<PlatformAnswer>,
     outcomes: Vec<ApplyOutcome>,
 }
 
-impl Alone {
+impl SingleInstance {
     fn active() -> Self {
         let address = SocketAddr::from(([127, 0, 0, 1], 1));
-        let me = Member {
+        let local = Member {
             id: "i1".parse().unwrap(),
             incarnation: Incarnation(1),
             failure_domain: "a".parse().unwrap(),
@@ -34,18 +34,18 @@
             peer_address: address,
             state: MemberState::Joining,
         };
-        let mut alone = Self {
-            instance: Instance::new(Tuning::default(), me, 1, Time(0)),
+        let mut harness = Self {
+            instance: Instance::new(Tuning::default(), local, 1, Time(0)),
             now: 0,
             objects: BTreeMap::new(),
             version: 0,
-            holds_head_writes: false,
-            held: vec![],
+            delays_head_writes: false,
+            delayed_replies: vec![],
             outcomes: vec![],
         };
-        alone.run_for(500);
-        assert!(alone.instance.is_ready(Time::from_millis(alone.now)));
-        alone
+        harness.run_for(500);
+        assert!(harness.instance.is_ready(Time::from_millis(harness.now)));
+        harness
     }
 
     fn run_for(&mut self, millis: u64) {
@@ -66,23 +66,23 @@
         }
     }
 
-    fn call(&mut self, asked: Time, call: PlatformCall) {
+    fn call(&mut self, sent_at: Time, call: PlatformCall) {
         let is_head_write =
             matches!(&call.op, PlatformOp::Put { name, .. } if name.as_str() == HEAD);
         let answer = PlatformAnswer {
             id: call.id,
             purpose: call.purpose,
-            asked,
-            reply: self.effect(call.op),
+            asked: sent_at,
+            reply: self.execute(call.op),
         };
-        if is_head_write && self.holds_head_writes {
-            self.held.push(answer);
+        if is_head_write && self.delays_head_writes {
+            self.delayed_replies.push(answer);
         } else {
             self.step(Event::Platform(answer));
         }
     }
 
-    fn effect(&mut self, op: PlatformOp) -> PlatformReply {
+    fn execute(&mut self, op: PlatformOp) -> PlatformReply {
         match op {
             PlatformOp::Get { name } => {
                 PlatformReply::Got(self.objects.get(name.as_str()).cloned())
@@ -103,11 +103,11 @@
 
     fn put(&mut self, name: &str, value: Box<str>, expected: Expected) -> PlatformReply {
         let found = self.objects.get(name).map(|object| object.version);
-        let as_expected = match expected {
+        let is_expected_version = match expected {
             Expected::Absent => found.is_none(),
             Expected::Version(version) => found == Some(version),
         };
-        if !as_expected {
+        if !is_expected_version {
             return PlatformReply::Conflict;
         }
         self.version += 1;
@@ -131,27 +131,28 @@
     }
 }
 
-/// Every later change was refused as "the platform can't be reached", at the instance that had just
-/// written one. Its write of the head took effect; a read of the head came back before the write's
-/// own answer, and the entries were brought up to it; then the answer came and the change was
-/// applied once more, so that the entries' revision ran ahead of the head's for good.
+/// Guards against a change that is applied twice. The write of the head took effect, but a read of
+/// the head returned before the reply to the write, and the entries caught up with that head. When
+/// the reply arrived, the change was applied again, and the entries' revision stayed ahead of the
+/// head's permanently. The instance then rejected every later change as "the platform can't be
+/// reached".
 #[test]
-fn a_head_that_is_read_before_its_write_is_answered_counts_once() {
-    let mut alone = Alone::active();
-    alone.holds_head_writes = true;
-    alone.change(1);
-    assert_eq!(alone.held.len(), 1);
-    alone.step(Event::PlatformChanged(HEAD.parse().unwrap()));
-    alone.run_for(500);
-    alone.holds_head_writes = false;
-    let answer = alone.held.remove(0);
-    alone.step(Event::Platform(answer));
-    alone.run_for(2_000);
-    alone.change(2);
-    alone.run_for(2_000);
+fn change_is_applied_once_if_its_head_is_read_before_the_write_reply() {
+    let mut harness = SingleInstance::active();
+    harness.delays_head_writes = true;
+    harness.change(1);
+    assert_eq!(harness.delayed_replies.len(), 1);
+    harness.step(Event::PlatformChanged(HEAD.parse().unwrap()));
+    harness.run_for(500);
+    harness.delays_head_writes = false;
+    let answer = harness.delayed_replies.remove(0);
+    harness.step(Event::Platform(answer));
+    harness.run_for(2_000);
+    harness.change(2);
+    harness.run_for(2_000);
     let accepted = |revision| ApplyOutcome::Accepted {
         revision: Revision(revision),
     };
-    assert_eq!(alone.outcomes, [accepted(1), accepted(2)]);
-    assert_eq!(alone.instance.catalogue().revision, Revision(2));
+    assert_eq!(harness.outcomes, [accepted(1), accepted(2)]);
+    assert_eq!(harness.instance.catalogue().revision, Revision(2));
 }
--- a/crates/core/tests/journal.rs
+++ b/crates/core/tests/journal.rs
@@ -1,13 +1,13 @@
-//! The journal on the plain path and at single failures.
+//! Tests the journal without failures and with single failures.
 
-#[expect(dead_code, reason = "this file needs a part of it")]
+#[expect(dead_code, reason = "this test uses only a part of it")]
 #[path = "support/journal_fleet.rs"]
 mod journal_fleet;
 #[path = "support/journal_platform.rs"]
 mod journal_platform;
 #[path = "support/journal_service.rs"]
 mod journal_service;
-#[expect(dead_code, reason = "this file needs a part of it")]
+#[expect(dead_code, reason = "this test uses only a part of it")]
 #[path = "support/rates_membership.rs"]
 mod rates_membership;
 
@@ -16,20 +16,20 @@
 use bluebellstage_core::journal::JournalStep;
 use bluebellstage_core::{InstanceId, RefusalKind, RequestId, Tuning};
 use journal_fleet::{Fleet, workspace};
-use journal_service::{Service, answer};
+use journal_service::{ServiceMode, stored_response};
 
 fn fleet() -> Fleet {
     Fleet::new(3, 5, Tuning::default())
 }
 
-fn elsewhere(fleet: &Fleet) -> [InstanceId; 2] {
-    let home = fleet.home(&workspace(0));
+fn non_owners(fleet: &Fleet) -> [InstanceId; 2] {
+    let owner = fleet.owner(&workspace(0));
     let mut others = fleet.instances();
-    others.retain(|id| *id != home);
+    others.retain(|id| *id != owner);
     others.try_into().expect("three instances")
 }
 
-fn kind(fleet: &Fleet, request: RequestId) -> Option<RefusalKind> {
+fn refusal_kind(fleet: &Fleet, request: RequestId) -> Option<RefusalKind> {
     match fleet.step_of(request)? {
         JournalStep::Refuse(refusal) => Some(refusal.kind),
         JournalStep::Send { .. } | JournalStep::Replay(_) => None,
@@ -37,12 +37,16 @@
 }
 
 #[test]
-fn call_runs_once_and_a_repeat_gets_its_answer() {
+fn call_runs_once_and_a_repeat_gets_its_response() {
     let mut fleet = fleet();
-    let [one, two] = elsewhere(&fleet);
-    let first = fleet.ask(&one, &workspace(0), "k", 1).expect("running");
+    let [one, two] = non_owners(&fleet);
+    let first = fleet
+        .send_request(&one, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(500);
-    let again = fleet.ask(&two, &workspace(0), "k", 1).expect("running");
+    let again = fleet
+        .send_request(&two, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(500);
     assert!(matches!(
         fleet.step_of(first),
@@ -50,54 +54,69 @@
     ));
     assert_eq!(
         fleet.step_of(again),
-        Some(&JournalStep::Replay(answer(first, fleet.answer_bytes)))
+        Some(&JournalStep::Replay(stored_response(
+            first,
+            fleet.response_bytes
+        )))
     );
-    fleet.check();
+    fleet.check_invariants();
 }
 
 #[test]
 fn same_key_with_another_body_is_refused() {
     let mut fleet = fleet();
-    let home = fleet.home(&workspace(0));
-    fleet.ask(&home, &workspace(0), "k", 1);
+    let owner = fleet.owner(&workspace(0));
+    fleet.send_request(&owner, &workspace(0), "k", 1);
     fleet.run(500);
-    let other = fleet.ask(&home, &workspace(0), "k", 2).expect("running");
+    let other = fleet
+        .send_request(&owner, &workspace(0), "k", 2)
+        .expect("running");
     fleet.run(500);
-    assert_eq!(kind(&fleet, other), Some(RefusalKind::KeyReused));
+    assert_eq!(refusal_kind(&fleet, other), Some(RefusalKind::KeyReused));
 }
 
 #[test]
 fn same_key_of_another_workspace_is_another_call() {
     let mut fleet = fleet();
-    let id = fleet.home(&workspace(0));
-    let one = fleet.ask(&id, &workspace(0), "k", 1).expect("running");
-    let two = fleet.ask(&id, &workspace(1), "k", 2).expect("running");
+    let id = fleet.owner(&workspace(0));
+    let one = fleet
+        .send_request(&id, &workspace(0), "k", 1)
+        .expect("running");
+    let two = fleet
+        .send_request(&id, &workspace(1), "k", 2)
+        .expect("running");
     fleet.run(500);
     assert!(matches!(fleet.step_of(one), Some(JournalStep::Send { .. })));
     assert!(matches!(fleet.step_of(two), Some(JournalStep::Send { .. })));
 }
 
 #[test]
-fn same_key_at_two_instances_at_once_runs_once_and_answers_both() {
+fn same_key_at_two_instances_at_once_runs_once_and_both_get_the_response() {
     let mut fleet = fleet();
-    let [one, two] = elsewhere(&fleet);
-    let requests = [one, two].map(|id| fleet.ask(&id, &workspace(0), "k", 1).expect("running"));
+    let [one, two] = non_owners(&fleet);
+    let requests = [one, two].map(|id| {
+        fleet
+            .send_request(&id, &workspace(0), "k", 1)
+            .expect("running")
+    });
     fleet.run(1_500);
-    let went = requests.map(|id| matches!(fleet.step_of(id), Some(JournalStep::Send { .. })));
+    let was_sent = requests.map(|id| matches!(fleet.step_of(id), Some(JournalStep::Send { .. })));
     let replayed = requests.map(|id| matches!(fleet.step_of(id), Some(JournalStep::Replay(_))));
-    assert_eq!(went.map(|it| !it), replayed);
-    fleet.check();
+    assert_eq!(was_sent.map(|it| !it), replayed);
+    fleet.check_invariants();
 }
 
 #[test]
 fn key_of_a_call_that_provably_did_not_run_is_free_again() {
     let mut fleet = fleet();
-    let home = fleet.home(&workspace(0));
-    fleet.service = Service::Refuses;
-    fleet.ask(&home, &workspace(0), "k", 1);
+    let owner = fleet.owner(&workspace(0));
+    fleet.service = ServiceMode::RefusesConnection;
+    fleet.send_request(&owner, &workspace(0), "k", 1);
     fleet.run(800);
-    fleet.service = Service::Answers;
-    let again = fleet.ask(&home, &workspace(0), "k", 1).expect("running");
+    fleet.service = ServiceMode::Responds;
+    let again = fleet
+        .send_request(&owner, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(800);
     assert!(matches!(
         fleet.step_of(again),
@@ -108,101 +127,115 @@
 #[test]
 fn call_whose_service_died_is_in_doubt_and_listed_whether_it_ran_or_not() {
     let mut fleet = fleet();
-    let home = fleet.home(&workspace(0));
-    for (service, name) in [(Service::Dies, "k1"), (Service::DiesIdle, "k2")] {
+    let owner = fleet.owner(&workspace(0));
+    for (service, name) in [
+        (ServiceMode::DiesAfterRun, "k1"),
+        (ServiceMode::DiesBeforeRun, "k2"),
+    ] {
         fleet.service = service;
-        fleet.ask(&home, &workspace(0), name, 1);
+        fleet.send_request(&owner, &workspace(0), name, 1);
         fleet.run(800);
-        let again = fleet.ask(&home, &workspace(0), name, 1).expect("running");
+        let again = fleet
+            .send_request(&owner, &workspace(0), name, 1)
+            .expect("running");
         fleet.run(800);
-        assert_eq!(kind(&fleet, again), Some(RefusalKind::InDoubt));
+        assert_eq!(refusal_kind(&fleet, again), Some(RefusalKind::InDoubt));
     }
-    assert_eq!(fleet.journal(&home).in_doubt().len(), 2);
+    assert_eq!(fleet.journal(&owner).in_doubt().len(), 2);
     assert_eq!(fleet.notices.len(), 2);
 }
 
 #[test]
-fn without_the_platform_nothing_is_sent_and_the_caller_is_told_when_to_return() {
+fn without_the_platform_nothing_is_sent_and_the_caller_is_refused() {
     let mut fleet = fleet();
-    let home = fleet.home(&workspace(0));
-    fleet.platform.away_until = fleet.now + 10_000_000;
-    let request = fleet.ask(&home, &workspace(0), "k", 1).expect("running");
+    let owner = fleet.owner(&workspace(0));
+    fleet.platform.unavailable_until = fleet.now + 10_000_000;
+    let request = fleet
+        .send_request(&owner, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(4_000);
     assert_eq!(
-        kind(&fleet, request),
+        refusal_kind(&fleet, request),
         Some(RefusalKind::PlatformUnavailable)
     );
     assert!(fleet.runs.is_empty());
     fleet.run(8_000);
-    let again = fleet.ask(&home, &workspace(0), "k", 1).expect("running");
+    let again = fleet
+        .send_request(&owner, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(1_000);
     assert!(matches!(
         fleet.step_of(again),
         Some(JournalStep::Send { .. })
     ));
-    assert!(fleet.journal(&home).is_quiet());
-    fleet.check();
+    assert!(fleet.journal(&owner).is_quiet());
+    fleet.check_invariants();
 }
 
 #[test]
-fn frozen_home_that_writes_late_meets_a_conflict() {
-    // A filing would run twice: the home freezes with an intent's write on its way, another home
-    // takes over and lets the repeat run, and the first one thaws and says `Send` as well.
+fn late_write_of_a_frozen_owner_conflicts() {
+    // Guards against a call that runs twice. The owner freezes while the write of an intent is in
+    // flight, another owner takes over and lets the repeat run, and the first owner then resumes
+    // and also replies `Send`.
     let mut fleet = fleet();
-    let home = fleet.home(&workspace(0));
-    let [one, two] = elsewhere(&fleet);
-    fleet.platform.longest_delay_ms = 6_000;
-    fleet.ask(&one, &workspace(0), "k", 1);
+    let owner = fleet.owner(&workspace(0));
+    let [one, two] = non_owners(&fleet);
+    fleet.platform.max_delay_ms = 6_000;
+    fleet.send_request(&one, &workspace(0), "k", 1);
     fleet.run(20);
-    fleet.freeze(&home, 8_000);
+    fleet.freeze(&owner, 8_000);
     fleet.run(2_000);
-    fleet.drop_from_map(&home);
-    fleet.platform.longest_delay_ms = 5;
+    fleet.remove_from_map(&owner);
+    fleet.platform.max_delay_ms = 5;
     for _ in 0..20 {
-        fleet.ask(&two, &workspace(0), "k", 1);
+        fleet.send_request(&two, &workspace(0), "k", 1);
         fleet.run(500);
     }
-    fleet.check();
+    fleet.check_invariants();
     assert_eq!(fleet.runs.len(), 1);
 }
 
 #[test]
 fn call_whose_sender_is_gone_is_in_doubt_and_never_sent_again() {
-    // A filing would run twice: its sender had its `Send` and dies, nobody knows whether it sent it,
-    // and the caller repeats the call at another instance.
+    // Guards against a call that runs twice. The sender dies after it received `Send`, so it is not
+    // known whether the call was sent, and the caller repeats the call at another instance.
     let mut fleet = fleet();
-    let home = fleet.home(&workspace(0));
-    let [one, two] = elsewhere(&fleet);
+    let owner = fleet.owner(&workspace(0));
+    let [one, two] = non_owners(&fleet);
     fleet.service_ms = 5_000;
-    fleet.ask(&one, &workspace(0), "k", 1);
+    fleet.send_request(&one, &workspace(0), "k", 1);
     fleet.run(500);
     fleet.kill(&one);
-    fleet.drop_from_map(&one);
+    fleet.remove_from_map(&one);
     fleet.run(1_000);
-    let again = fleet.ask(&two, &workspace(0), "k", 1).expect("running");
+    let again = fleet
+        .send_request(&two, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(1_000);
-    assert_eq!(kind(&fleet, again), Some(RefusalKind::InDoubt));
-    assert_eq!(fleet.journal(&home).in_doubt().len(), 1);
-    fleet.check();
+    assert_eq!(refusal_kind(&fleet, again), Some(RefusalKind::InDoubt));
+    assert_eq!(fleet.journal(&owner).in_doubt().len(), 1);
+    fleet.check_invariants();
 }
 
 #[test]
-fn late_ask_of_a_call_given_up_does_not_block_its_key() {
-    // A key would stay blocked for a day: a caller gave up waiting for another's run of the same
-    // call, that run proves not run, and then a doubled ask of the first caller arrives and is
-    // recorded as an intent that nobody will send.
+fn late_intent_of_an_abandoned_call_does_not_block_its_key() {
+    // Guards against a key that stays blocked for a day. A request is abandoned while it waits for
+    // another run of the same call, and that run turns out not to have run. A duplicated intent of
+    // the abandoned request then arrives and is recorded, but no instance will send that call.
     let mut fleet = fleet();
-    let [one, two] = elsewhere(&fleet);
-    fleet.service = Service::Refuses;
+    let [one, two] = non_owners(&fleet);
+    fleet.service = ServiceMode::RefusesConnection;
     fleet.service_ms = 6_000;
-    fleet.doubled_percent = 100;
-    fleet.ask(&one, &workspace(0), "k", 1);
+    fleet.duplicate_percent = 100;
+    fleet.send_request(&one, &workspace(0), "k", 1);
     fleet.run(500);
-    fleet.ask(&two, &workspace(0), "k", 1);
+    fleet.send_request(&two, &workspace(0), "k", 1);
     fleet.run(15_000);
-    fleet.service = Service::Answers;
+    fleet.service = ServiceMode::Responds;
     fleet.service_ms = 10;
-    let again = fleet.ask(&one, &workspace(0), "k", 1).expect("running");
+    let again = fleet
+        .send_request(&one, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(1_000);
     assert!(matches!(
         fleet.step_of(again),
@@ -213,20 +246,25 @@
 #[test]
 fn body_too_large_to_keep_is_left_out_of_a_repeat() {
     let mut fleet = fleet();
-    let home = fleet.home(&workspace(0));
-    fleet.answer_bytes = 20_000;
-    fleet.ask(&home, &workspace(0), "k", 1);
+    let owner = fleet.owner(&workspace(0));
+    fleet.response_bytes = 20_000;
+    fleet.send_request(&owner, &workspace(0), "k", 1);
     fleet.run(500);
-    let again = fleet.ask(&home, &workspace(0), "k", 1).expect("running");
+    let again = fleet
+        .send_request(&owner, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(500);
-    let Some(JournalStep::Replay(answer)) = fleet.step_of(again) else {
+    let Some(JournalStep::Replay(stored_response)) = fleet.step_of(again) else {
         panic!("a replay");
     };
-    assert_eq!((answer.status, &answer.body), (200, &None));
+    assert_eq!(
+        (stored_response.status, &stored_response.body),
+        (200, &None)
+    );
 }
 
 #[test]
-fn outcome_is_kept_for_its_time_across_a_takeover_and_then_forgotten() {
+fn outcome_is_kept_for_the_retention_across_a_takeover_and_then_removed() {
     let mut fleet = Fleet::new(
         3,
         5,
@@ -235,19 +273,25 @@
             ..Tuning::default()
         },
     );
-    let [one, _two] = elsewhere(&fleet);
-    let first = fleet.ask(&one, &workspace(0), "k", 1).expect("running");
+    let [one, _two] = non_owners(&fleet);
+    let first = fleet
+        .send_request(&one, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(10_000);
-    let home = fleet.home(&workspace(0));
-    fleet.kill(&home);
-    fleet.drop_from_map(&home);
+    let owner = fleet.owner(&workspace(0));
+    fleet.kill(&owner);
+    fleet.remove_from_map(&owner);
     fleet.run(8_000);
-    let again = fleet.ask(&one, &workspace(0), "k", 1).expect("running");
+    let again = fleet
+        .send_request(&one, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(500);
-    let kept = JournalStep::Replay(answer(first, fleet.answer_bytes));
+    let kept = JournalStep::Replay(stored_response(first, fleet.response_bytes));
     assert_eq!(fleet.step_of(again), Some(&kept));
     fleet.run(25_000);
-    let later = fleet.ask(&one, &workspace(0), "k", 1).expect("running");
+    let later = fleet
+        .send_request(&one, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(500);
     assert!(matches!(
         fleet.step_of(later),
@@ -256,28 +300,29 @@
 }
 
 #[test]
-fn journal_of_many_answers_spreads_over_objects_and_survives_takeovers() {
-    // Filings would be refused for good, or run twice after a takeover: a workspace files more in
-    // a day than one object of the platform holds, and writes are lost while its journal splits.
+fn journal_of_many_responses_spreads_over_objects_and_survives_takeovers() {
+    // Guards against calls that are refused permanently, or that run twice after a takeover. A
+    // workspace makes more calls in a day than one platform object can hold, and writes are lost
+    // while its journal splits.
     let mut fleet = fleet();
-    fleet.answer_bytes = 12_000;
+    fleet.response_bytes = 12_000;
     fleet.platform.lost_percent = 45;
-    let [one, two] = elsewhere(&fleet);
+    let [one, two] = non_owners(&fleet);
     for round in 0..20 {
         for number in 0..12 {
-            fleet.ask(&one, &workspace(0), &format!("k{round}-{number}"), 1);
+            fleet.send_request(&one, &workspace(0), &format!("k{round}-{number}"), 1);
         }
         fleet.run(400);
     }
     fleet.run(5_000);
-    let home = fleet.home(&workspace(0));
-    fleet.kill(&home);
-    fleet.drop_from_map(&home);
+    let owner = fleet.owner(&workspace(0));
+    fleet.kill(&owner);
+    fleet.remove_from_map(&owner);
     fleet.platform.lost_percent = 0;
     fleet.run(5_000);
-    let first: Vec<_> = fleet.asked.keys().copied().collect();
+    let first: Vec<_> = fleet.attempts.keys().copied().collect();
     for number in 0..first.len() {
-        fleet.ask(
+        fleet.send_request(
             &two,
             &workspace(0),
             &format!("k{}-{}", number / 12, number % 12),
@@ -285,36 +330,41 @@
         );
     }
     fleet.run(5_000);
-    fleet.check();
+    fleet.check_invariants();
     let (objects, longest, _all) = fleet.platform.size();
     assert!(objects >= 4, "{objects} objects");
     assert!(longest < 1_000_000, "{longest} bytes");
     let mut repeats = fleet
-        .asked
+        .attempts
         .iter()
         .skip(first.len())
-        .map(|(_id, asked)| &asked.step);
+        .map(|(_id, attempt)| &attempt.step);
     assert!(repeats.all(|step| matches!(step, Some(JournalStep::Replay(_)))));
     fleet.run(1_000);
     assert!(fleet.journal(&two).is_quiet());
 }
 
 #[test]
-fn write_that_met_a_conflict_lets_nothing_run() {
-    // A filing would run twice: the home holds a caller itself and freezes with that call's intent
-    // on its way. Another home takes over and lets a repeat of the call run. Then the intent's
-    // write reaches the platform, conflicts, and the first home thaws, still under its old map.
+fn conflicting_intent_write_sends_no_call() {
+    // Guards against a call that runs twice. The owner itself holds the caller and freezes while
+    // the write of the call's intent is in flight. Another owner takes over and lets a repeat of
+    // the call run. The write then reaches the platform and conflicts, and the first owner resumes
+    // with its old map.
     let mut fleet = fleet();
-    let home = fleet.home(&workspace(0));
-    let [one, _two] = elsewhere(&fleet);
-    fleet.ask(&home, &workspace(0), "other", 1);
+    let owner = fleet.owner(&workspace(0));
+    let [one, _two] = non_owners(&fleet);
+    fleet.send_request(&owner, &workspace(0), "other", 1);
     fleet.run(500);
     fleet.platform.next_delays_ms = Some((3_900, 4_000));
-    let first = fleet.ask(&home, &workspace(0), "k", 1).expect("running");
-    fleet.freeze(&home, 4_500);
-    fleet.drop_from_map(&home);
+    let first = fleet
+        .send_request(&owner, &workspace(0), "k", 1)
+        .expect("running");
+    fleet.freeze(&owner, 4_500);
+    fleet.remove_from_map(&owner);
     fleet.run(1_000);
-    let repeat = fleet.ask(&one, &workspace(0), "k", 1).expect("running");
+    let repeat = fleet
+        .send_request(&one, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(2_700);
     assert!(matches!(
         fleet.step_of(repeat),
@@ -325,18 +375,21 @@
         fleet.step_of(first),
         Some(JournalStep::Send { .. })
     ));
-    fleet.check();
+    fleet.check_invariants();
 }
 
 #[test]
 fn calls_in_doubt_serialise_their_intent_as_ask() {
-    // Operators' tools read the list of calls in doubt as JSON: its field names must not change.
+    // Guards against a change of the JSON field names: operators' tools read the list of calls in
+    // doubt.
     let mut fleet = fleet();
-    let home = fleet.home(&workspace(0));
-    fleet.service = Service::Dies;
-    let request = fleet.ask(&home, &workspace(0), "k", 1).expect("running");
+    let owner = fleet.owner(&workspace(0));
+    fleet.service = ServiceMode::DiesAfterRun;
+    let request = fleet
+        .send_request(&owner, &workspace(0), "k", 1)
+        .expect("running");
     fleet.run(800);
-    let listed = serde_json::to_value(fleet.journal(&home).in_doubt()).expect("valid JSON");
+    let listed = serde_json::to_value(fleet.journal(&owner).in_doubt()).expect("valid JSON");
     let expected = serde_json::json!([{
         "ask": {
             "request": request,
@@ -345,7 +398,7 @@
             "key": "k",
             "fingerprint": 1,
         },
-        "sender": home,
+        "sender": owner,
     }]);
     assert_eq!(listed, expected);
 }
--- a/crates/core/tests/journal_fuzz.rs
+++ b/crates/core/tests/journal_fuzz.rs
@@ -1,22 +1,23 @@
-//! Random failures against "at most one run for each key" and "not run is true".
+//! Checks under random failures that each key runs at most once and that a call reported as "not
+//! run" did not run.
 
-#[expect(dead_code, reason = "this file needs a part of it")]
+#[expect(dead_code, reason = "this test uses only a part of it")]
 #[path = "support/journal_fleet.rs"]
 mod journal_fleet;
-#[expect(dead_code, reason = "this file needs a part of it")]
+#[expect(dead_code, reason = "this test uses only a part of it")]
 #[path = "support/journal_platform.rs"]
 mod journal_platform;
 #[path = "support/journal_service.rs"]
 mod journal_service;
 #[path = "support/rates_cases.rs"]
 mod rates_cases;
-#[expect(dead_code, reason = "this file needs a part of it")]
+#[expect(dead_code, reason = "this test uses only a part of it")]
 #[path = "support/rates_membership.rs"]
 mod rates_membership;
 
 use bluebellstage_core::{InstanceId, Tuning};
 use journal_fleet::{Fleet, workspace};
-use journal_service::Service;
+use journal_service::ServiceMode;
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use rates_membership::instance;
@@ -26,36 +27,36 @@
 const KEYS: usize = 3;
 
 #[derive(Clone, Debug)]
-enum Step {
-    Ask {
-        at: usize,
-        of: usize,
+enum Action {
+    Request {
+        idx: usize,
+        ws: usize,
         key: usize,
         fingerprint: u64,
     },
-    AskTwice {
-        at: [usize; 2],
-        of: usize,
+    RequestTwice {
+        idx: [usize; 2],
+        ws: usize,
         key: usize,
     },
-    Pass(u64),
+    Wait(u64),
     Kill(usize),
-    KillHome(usize),
+    KillOwner(usize),
     Freeze(usize, u64),
-    FreezeHome(usize, u64),
-    Cut(usize, u64),
-    Drop(usize),
-    DropHome(usize),
+    FreezeOwner(usize, u64),
+    Partition(usize, u64),
+    RemoveFromMap(usize),
+    RemoveOwnerFromMap(usize),
     Join(usize),
-    Service(Service),
-    Away(u64),
+    ServiceMode(ServiceMode),
+    PlatformOutage(u64),
     Platform {
         lost: u32,
         delay: u64,
     },
     Network {
         lost: u32,
-        doubled: u32,
+        duplicated: u32,
         delay: u64,
     },
 }
@@ -65,165 +66,168 @@
     seed: u64,
     lost: u32,
     delay: u64,
-    doubled: u32,
+    duplicated: u32,
     network_delay: u64,
 }
 
-struct Steps;
+struct Actions;
 
-fn service() -> impl Strategy<Value = Service> {
+fn service() -> impl Strategy<Value = ServiceMode> {
     prop_oneof![
-        5 => Just(Service::Answers),
-        2 => Just(Service::Refuses),
-        1 => Just(Service::Dies),
-        1 => Just(Service::DiesIdle),
+        5 => Just(ServiceMode::Responds),
+        2 => Just(ServiceMode::RefusesConnection),
+        1 => Just(ServiceMode::DiesAfterRun),
+        1 => Just(ServiceMode::DiesBeforeRun),
     ]
 }
 
-impl ReferenceStateMachine for Steps {
+impl ReferenceStateMachine for Actions {
     type State = Start;
-    type Transition = Step;
+    type Transition = Action;
 
     fn init_state() -> BoxedStrategy<Start> {
         (any::<u64>(), 0..50_u32, 1..600_u64, 0..50_u32, 1..300_u64)
-            .prop_map(|(seed, lost, delay, doubled, network_delay)| Start {
+            .prop_map(|(seed, lost, delay, duplicated, network_delay)| Start {
                 seed,
                 lost,
                 delay,
-                doubled,
+                duplicated,
                 network_delay,
             })
             .boxed()
     }
 
-    fn transitions(_state: &Start) -> BoxedStrategy<Step> {
-        let at = 0..INSTANCES;
-        let of = 0..WORKSPACES;
+    fn transitions(_state: &Start) -> BoxedStrategy<Action> {
+        let idx = 0..INSTANCES;
+        let ws = 0..WORKSPACES;
         let key = 0..KEYS;
         prop_oneof![
-            10 => (at.clone(), of.clone(), key.clone(), 1..20_u64).prop_map(
-                |(at, of, key, print)| Step::Ask { at, of, key, fingerprint: 1 + print / 19 }
+            10 => (idx.clone(), ws.clone(), key.clone(), 1..20_u64).prop_map(
+                |(idx, ws, key, number)| Action::Request { idx, ws, key, fingerprint: 1 + number / 19 }
             ),
-            3 => (at.clone(), at.clone(), of.clone(), key)
-                .prop_map(|(one, two, of, key)| Step::AskTwice { at: [one, two], of, key }),
-            8 => (5..80_u64).prop_map(Step::Pass),
-            6 => (80..1_500_u64).prop_map(Step::Pass),
-            2 => (1_500..5_000_u64).prop_map(Step::Pass),
-            1 => at.clone().prop_map(Step::Kill),
-            1 => of.clone().prop_map(Step::KillHome),
-            1 => (at.clone(), 50..12_000_u64).prop_map(|(at, millis)| Step::Freeze(at, millis)),
-            2 => (of.clone(), 50..6_000_u64).prop_map(|(of, millis)| Step::FreezeHome(of, millis)),
-            1 => (at.clone(), 50..6_000_u64).prop_map(|(at, millis)| Step::Cut(at, millis)),
-            1 => at.clone().prop_map(Step::Drop),
-            2 => of.prop_map(Step::DropHome),
-            4 => at.prop_map(Step::Join),
-            2 => service().prop_map(Step::Service),
-            1 => (100..6_000_u64).prop_map(Step::Away),
+            3 => (idx.clone(), idx.clone(), ws.clone(), key)
+                .prop_map(|(one, two, ws, key)| Action::RequestTwice { idx: [one, two], ws, key }),
+            8 => (5..80_u64).prop_map(Action::Wait),
+            6 => (80..1_500_u64).prop_map(Action::Wait),
+            2 => (1_500..5_000_u64).prop_map(Action::Wait),
+            1 => idx.clone().prop_map(Action::Kill),
+            1 => ws.clone().prop_map(Action::KillOwner),
+            1 => (idx.clone(), 50..12_000_u64).prop_map(|(idx, millis)| Action::Freeze(idx, millis)),
+            2 => (ws.clone(), 50..6_000_u64).prop_map(|(ws, millis)| Action::FreezeOwner(ws, millis)),
+            1 => (idx.clone(), 50..6_000_u64).prop_map(|(idx, millis)| Action::Partition(idx, millis)),
+            1 => idx.clone().prop_map(Action::RemoveFromMap),
+            2 => ws.prop_map(Action::RemoveOwnerFromMap),
+            4 => idx.prop_map(Action::Join),
+            2 => service().prop_map(Action::ServiceMode),
+            1 => (100..6_000_u64).prop_map(Action::PlatformOutage),
             2 => (0..60_u32, prop_oneof![1..1_500_u64, 3_000..6_000_u64])
-                .prop_map(|(lost, delay)| Step::Platform { lost, delay }),
+                .prop_map(|(lost, delay)| Action::Platform { lost, delay }),
             2 => (0..40_u32, 0..60_u32, 1..600_u64)
-                .prop_map(|(lost, doubled, delay)| Step::Network { lost, doubled, delay }),
+                .prop_map(|(lost, duplicated, delay)| Action::Network { lost, duplicated, delay }),
         ]
         .boxed()
     }
 
-    fn apply(state: Start, _transition: &Step) -> Start {
+    fn apply(state: Start, _transition: &Action) -> Start {
         state
     }
 }
 
-struct OnceOnly;
+struct AtMostOnce;
 
-impl StateMachineTest for OnceOnly {
+impl StateMachineTest for AtMostOnce {
     type SystemUnderTest = Fleet;
-    type Reference = Steps;
+    type Reference = Actions;
 
     fn init_test(ref_state: &Start) -> Fleet {
         let start = ref_state;
         let mut fleet = Fleet::new(INSTANCES, start.seed, Tuning::default());
         fleet.platform.lost_percent = start.lost;
-        fleet.platform.longest_delay_ms = start.delay;
-        fleet.doubled_percent = start.doubled;
-        fleet.longest_delay_ms = start.network_delay;
+        fleet.platform.max_delay_ms = start.delay;
+        fleet.duplicate_percent = start.duplicated;
+        fleet.max_delay_ms = start.network_delay;
         fleet
     }
 
-    fn apply(mut state: Fleet, _ref_state: &Start, transition: Step) -> Fleet {
-        take(&mut state, &transition);
+    fn apply(mut state: Fleet, _ref_state: &Start, transition: Action) -> Fleet {
+        apply_action(&mut state, &transition);
         state
     }
 
     fn check_invariants(state: &Fleet, _ref_state: &Start) {
-        state.check();
+        state.check_invariants();
     }
 
     fn teardown(mut state: Fleet, _ref_state: Start) {
-        calm(&mut state);
+        settle(&mut state);
     }
 }
 
-// With everything mended, all that is open comes to an end and what was refused stays not run.
-fn calm(fleet: &mut Fleet) {
+// Ends all failures and lets time pass. Every open request must then be decided, and refused calls
+// must not have run.
+fn settle(fleet: &mut Fleet) {
     fleet.platform.lost_percent = 0;
-    fleet.platform.longest_delay_ms = 5;
+    fleet.platform.max_delay_ms = 5;
     fleet.lost_percent = 0;
-    fleet.doubled_percent = 0;
+    fleet.duplicate_percent = 0;
     fleet.run_by(20_000, 25);
-    fleet.check();
+    fleet.check_invariants();
     fleet.check_all_decided();
 }
 
-fn take(fleet: &mut Fleet, step: &Step) {
-    match *step {
-        Step::Ask {
-            at,
-            of,
+fn apply_action(fleet: &mut Fleet, action: &Action) {
+    match *action {
+        Action::Request {
+            idx,
+            ws,
             key,
             fingerprint,
         } => {
-            fleet.ask(
-                &instance(at),
-                &workspace(of),
+            fleet.send_request(
+                &instance(idx),
+                &workspace(ws),
                 &format!("k{key}"),
                 fingerprint,
             );
         }
-        Step::AskTwice { at, of, key } => {
-            for at in at {
-                fleet.ask(&instance(at), &workspace(of), &format!("k{key}"), 1);
+        Action::RequestTwice { idx, ws, key } => {
+            for idx in idx {
+                fleet.send_request(&instance(idx), &workspace(ws), &format!("k{key}"), 1);
             }
         }
-        Step::Pass(millis) => fleet.run(millis),
-        Step::Kill(at) => fleet.kill(&instance(at)),
-        Step::KillHome(of) => fleet.kill(&fleet.home(&workspace(of))),
-        Step::Freeze(at, millis) => fleet.freeze(&instance(at), millis),
-        Step::FreezeHome(of, millis) => fleet.freeze(&fleet.home(&workspace(of)), millis),
-        Step::Cut(at, millis) => fleet.cut(&instance(at), millis),
-        Step::Drop(at) => drop_one(fleet, &instance(at)),
-        Step::DropHome(of) => drop_one(fleet, &fleet.home(&workspace(of))),
-        Step::Join(at) => fleet.join(&instance(at)),
-        Step::Service(service) => fleet.service = service,
-        Step::Away(millis) => fleet.platform.away_until = fleet.now + millis * 1_000,
-        Step::Platform { lost, delay } => {
+        Action::Wait(millis) => fleet.run(millis),
+        Action::Kill(idx) => fleet.kill(&instance(idx)),
+        Action::KillOwner(ws) => fleet.kill(&fleet.owner(&workspace(ws))),
+        Action::Freeze(idx, millis) => fleet.freeze(&instance(idx), millis),
+        Action::FreezeOwner(ws, millis) => fleet.freeze(&fleet.owner(&workspace(ws)), millis),
+        Action::Partition(idx, millis) => fleet.partition(&instance(idx), millis),
+        Action::RemoveFromMap(idx) => remove_unless_last(fleet, &instance(idx)),
+        Action::RemoveOwnerFromMap(ws) => remove_unless_last(fleet, &fleet.owner(&workspace(ws))),
+        Action::Join(idx) => fleet.join(&instance(idx)),
+        Action::ServiceMode(service) => fleet.service = service,
+        Action::PlatformOutage(millis) => {
+            fleet.platform.unavailable_until = fleet.now + millis * 1_000;
+        }
+        Action::Platform { lost, delay } => {
             fleet.platform.lost_percent = lost;
-            fleet.platform.longest_delay_ms = delay;
+            fleet.platform.max_delay_ms = delay;
         }
-        Step::Network {
+        Action::Network {
             lost,
-            doubled,
+            duplicated,
             delay,
         } => {
             fleet.lost_percent = lost;
-            fleet.doubled_percent = doubled;
-            fleet.longest_delay_ms = delay;
+            fleet.duplicate_percent = duplicated;
+            fleet.max_delay_ms = delay;
         }
     }
 }
 
-// The last member stays: without any nothing could be recorded.
-fn drop_one(fleet: &mut Fleet, id: &InstanceId) {
+// Keeps the last member in the map, because nothing can be recorded without members.
+fn remove_unless_last(fleet: &mut Fleet, id: &InstanceId) {
     if fleet.members() > 1 {
-        fleet.drop_from_map(id);
+        fleet.remove_from_map(id);
     }
 }
 
@@ -231,26 +235,26 @@
     #![proptest_config(rates_cases::cases(300))]
 
     #[test]
-    fn each_key_runs_at_most_once_under_any_failures(sequential 20..80 => OnceOnly);
+    fn each_key_runs_at_most_once_under_any_failures(sequential 20..80 => AtMostOnce);
 }
 
-/// Homes killed in [`file_through_takeovers`].
+/// Number of owners killed in [`send_calls_through_takeovers`].
 const KILLS: usize = 5;
 
-/// What became of the calls of [`file_through_takeovers`].
+/// Statistics of the calls of [`send_calls_through_takeovers`].
 #[derive(Debug, Default)]
-struct Filed {
+struct CallStats {
     calls: usize,
     ran: usize,
     in_doubt: usize,
     in_doubt_without_run: usize,
-    longest_wait_ms: u64,
+    max_wait_ms: u64,
 }
 
-// A caller repeats its call every 500 ms until it gets a final word. The home is killed every 12 s,
-// in the middle
-// of its calls; the map drops it 2 s later, and a new life joins after 3 s more.
-fn file_through_takeovers(seed: u64) -> Filed {
+// Callers repeat each call every 500 ms until they get a final response. The owner is killed every
+// 12 s, in the middle of its calls. It is removed from the map 2 s later, and a new incarnation
+// joins after another 3 s.
+fn send_calls_through_takeovers(seed: u64) -> CallStats {
     let mut fleet = Fleet::new(INSTANCES, seed, Tuning::default());
     fleet.platform.lost_percent = 5;
     fleet.lost_percent = 2;
@@ -259,64 +263,66 @@
         let running = fleet.instances();
         for (number, id) in running.iter().enumerate() {
             let name = format!("{round}-{number}");
-            fleet.ask(id, &workspace(0), &name, 1);
+            fleet.send_request(id, &workspace(0), &name, 1);
         }
-        for (name, at) in open_calls(&fleet) {
-            fleet.ask(&running[at % running.len()], &workspace(0), &name, 1);
+        for (name, idx) in open_calls(&fleet) {
+            fleet.send_request(&running[idx % running.len()], &workspace(0), &name, 1);
         }
         fleet.run(30);
         match (round % 24, down.clone()) {
             (10, _) => {
-                let home = fleet.home(&workspace(0));
-                fleet.kill(&home);
-                down = Some(home);
+                let owner = fleet.owner(&workspace(0));
+                fleet.kill(&owner);
+                down = Some(owner);
             }
-            (14, Some(id)) => fleet.drop_from_map(&id),
+            (14, Some(id)) => fleet.remove_from_map(&id),
             (20, Some(id)) => fleet.join(&id),
             _ => {}
         }
         fleet.run(470);
     }
     fleet.run(15_000);
-    fleet.check();
-    filed(&fleet)
+    fleet.check_invariants();
+    call_stats(&fleet)
 }
 
-// Calls whose last word was a refusal that waiting may mend, and those that died with their instance.
+// Returns the calls whose last response was a refusal that allows a retry, and the calls whose
+// instance died.
 fn open_calls(fleet: &Fleet) -> Vec<(String, usize)> {
     let calls = fleet.calls();
     let open = calls
         .iter()
-        .filter(|(_key, call)| call.is_over && !call.is_final);
-    open.map(|(key, call)| (key.to_string(), call.asked))
+        .filter(|(_key, call)| call.is_finished && !call.is_final);
+    open.map(|(key, call)| (key.to_string(), call.attempts))
         .collect()
 }
 
-fn filed(fleet: &Fleet) -> Filed {
-    let mut sum = Filed::default();
+fn call_stats(fleet: &Fleet) -> CallStats {
+    let mut sum = CallStats::default();
     for (key, call) in fleet.calls() {
         let ran = fleet.runs.contains_key(&(workspace(0), key));
         sum.calls += 1;
         sum.ran += usize::from(ran);
         sum.in_doubt += usize::from(call.is_in_doubt);
         sum.in_doubt_without_run += usize::from(call.is_in_doubt && !ran);
-        sum.longest_wait_ms = sum.longest_wait_ms.max(call.longest_wait_ms);
+        sum.max_wait_ms = sum.max_wait_ms.max(call.max_wait_ms);
     }
     sum
 }
 
 #[test]
 fn few_calls_are_left_in_doubt_through_takeovers() {
-    // Callers whose call is in doubt must ask the service by hand. Only a call whose sender died
-    // between its `Send` and its report may end so: each kill here hits one call in its first 30 ms.
+    // For a call in doubt, the caller must ask the service manually. Only a call whose sender died
+    // between its `Send` and its report may end in doubt. Each kill here interrupts one call in its
+    // first 30 ms.
     for seed in 1..=3 {
-        let filed = file_through_takeovers(seed);
-        println!("seed {seed}: {filed:?}");
-        assert!(filed.in_doubt <= KILLS, "{filed:?}");
+        let stats = send_calls_through_takeovers(seed);
+        println!("seed {seed}: {stats:?}");
+        assert!(stats.in_doubt <= KILLS, "{stats:?}");
         assert_eq!(
-            filed.calls - filed.ran,
-            filed.in_doubt_without_run,
-            "{filed:?}"
+            stats.calls - stats.ran,
+            stats.in_doubt_without_run,
+            "{stats:?}"
         );
     }
 }
--- a/crates/core/tests/support/journal_fleet.rs
+++ b/crates/core/tests/support/journal_fleet.rs
@@ -1,4 +1,5 @@
-//! Several `Journal`s in virtual time, with scripted ownership, a fake platform and a fake service.
+//! Runs several `Journal`s in virtual time, with scripted ownership, a simulated platform and a
+//! simulated service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::journal_platform::Platform;
-use super::journal_service::{Asked, Call, Service, answer};
+use super::journal_service::{Attempt, Call, ServiceMode, stored_response};
 use super::rates_membership::{Script, Seat, adopted, instance};
 
 struct Node {
@@ -21,7 +22,7 @@
     seat: Seat,
 }
 
-struct Flight {
+struct MessageInFlight {
     at: u64,
     from: InstanceId,
     to: InstanceId,
@@ -30,41 +31,42 @@
 
 struct Dispatch {
     at: u64,
-    life: MemberRef,
+    member: MemberRef,
     request: RequestId,
     send_before: Time,
 }
 
 struct Running {
     at: u64,
-    life: MemberRef,
+    member: MemberRef,
     request: RequestId,
     outcome: CallOutcome,
 }
 
-/// Instances by name, the platform, the service, and what each call came to.
+/// The instances by name, the platform, the service, and the outcome of each call. Times are in
+/// microseconds unless the name says otherwise.
 pub struct Fleet {
     cfg: Tuning,
     pub now: u64,
     nodes: BTreeMap<InstanceId, Node>,
     script: Script,
-    flights: Vec<Flight>,
-    answers: Vec<(MemberRef, PlatformAnswer)>,
+    messages_in_flight: Vec<MessageInFlight>,
+    platform_replies: Vec<(MemberRef, PlatformAnswer)>,
     dispatches: Vec<Dispatch>,
     running: Vec<Running>,
     pub platform: Platform<MemberRef>,
-    pub service: Service,
+    pub service: ServiceMode,
     pub service_ms: u64,
-    pub answer_bytes: usize,
+    pub response_bytes: usize,
     pub lost_percent: u32,
-    pub doubled_percent: u32,
-    pub longest_delay_ms: u64,
+    pub duplicate_percent: u32,
+    pub max_delay_ms: u64,
     rng: ChaCha8Rng,
-    pub asked: BTreeMap<RequestId, Asked>,
+    pub attempts: BTreeMap<RequestId, Attempt>,
     pub runs: BTreeMap<(WorkspaceId, IdempotencyKey), Vec<RequestId>>,
     pub notices: Vec<Notice>,
     next_request: u128,
-    next_life: u64,
+    next_incarnation: u64,
 }
 
 pub fn workspace(number: usize) -> WorkspaceId {
@@ -83,23 +85,23 @@
             nodes: BTreeMap::new(),
             script: Script::new(count, now, &cfg),
             cfg,
-            flights: Vec::new(),
-            answers: Vec::new(),
+            messages_in_flight: Vec::new(),
+            platform_replies: Vec::new(),
             dispatches: Vec::new(),
             running: Vec::new(),
             platform: Platform::new(),
-            service: Service::Answers,
+            service: ServiceMode::Responds,
             service_ms: 200,
-            answer_bytes: 20,
+            response_bytes: 20,
             lost_percent: 0,
-            doubled_percent: 0,
-            longest_delay_ms: 2,
+            duplicate_percent: 0,
+            max_delay_ms: 2,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            asked: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             runs: BTreeMap::new(),
             notices: Vec::new(),
             next_request: 1,
-            next_life: 2,
+            next_incarnation: 2,
         };
         for number in 0..count {
             fleet.start(&instance(number), 1);
@@ -108,16 +110,22 @@
         fleet
     }
 
-    fn start(&mut self, id: &InstanceId, life: u64) {
+    fn start(&mut self, id: &InstanceId, incarnation: u64) {
         let node = Node {
             journal: Journal::new(&self.cfg),
-            seat: Seat::new(&self.script, id.clone(), life, self.now, &mut self.rng),
+            seat: Seat::new(
+                &self.script,
+                id.clone(),
+                incarnation,
+                self.now,
+                &mut self.rng,
+            ),
         };
         self.nodes.insert(id.clone(), node);
     }
 
-    /// A caller's call arrives at an instance.
-    pub fn ask(
+    /// Sends a caller's call to an instance. Returns `None` if the instance is not running.
+    pub fn send_request(
         &mut self,
         id: &InstanceId,
         workspace: &WorkspaceId,
@@ -131,28 +139,28 @@
             .filter(|node| node.seat.is_running(now))?;
         let request = RequestId(self.next_request);
         self.next_request += 1;
-        let ask = CallIntent {
+        let intent = CallIntent {
             request,
             workspace: workspace.clone(),
             service: "court".parse().expect("legal name"),
             key: key(name),
             fingerprint,
         };
-        let asked = Asked {
-            ask: ask.clone(),
-            life: node.seat.own.local.clone(),
+        let attempt = Attempt {
+            intent: intent.clone(),
+            sender: node.seat.own.local.clone(),
             step: None,
-            at: now,
+            sent_at: now,
             decided_at: None,
             has_ended: false,
         };
-        self.asked.insert(request, asked);
-        let decisions = self.step(id, |journal, cx| journal.record_intent(cx, ask));
-        self.decided(id, decisions);
+        self.attempts.insert(request, attempt);
+        let decisions = self.step(id, |journal, cx| journal.record_intent(cx, intent));
+        self.apply_decisions(id, decisions);
         Some(request)
     }
 
-    pub fn home(&self, workspace: &WorkspaceId) -> InstanceId {
+    pub fn owner(&self, workspace: &WorkspaceId) -> InstanceId {
         let key = bluebellstage_core::OwnershipKey::Workspace(workspace.clone());
         self.script.map.owner(&key).expect("a home").clone()
     }
@@ -167,13 +175,13 @@
         }
     }
 
-    pub fn cut(&mut self, id: &InstanceId, millis: u64) {
+    pub fn partition(&mut self, id: &InstanceId, millis: u64) {
         if let Some(node) = self.nodes.get_mut(id) {
             node.seat.cut(self.now, millis);
         }
     }
 
-    pub fn drop_from_map(&mut self, id: &InstanceId) {
+    pub fn remove_from_map(&mut self, id: &InstanceId) {
         self.script.drop(self.now, id);
         self.map_changed();
     }
@@ -182,15 +190,15 @@
         if self.script.map.member(id).is_some() {
             return;
         }
-        let life = match self.nodes.get(id) {
+        let incarnation = match self.nodes.get(id) {
             Some(node) => node.seat.own.local.incarnation.0,
-            None => self.next_life,
+            None => self.next_incarnation,
         };
         if !self.nodes.contains_key(id) {
-            self.next_life += 1;
-            self.start(id, life);
+            self.next_incarnation += 1;
+            self.start(id, incarnation);
         }
-        self.script.add(self.now, id, life);
+        self.script.add(self.now, id, incarnation);
         self.map_changed();
     }
 
@@ -218,12 +226,12 @@
         &self.nodes.get(id).expect("a running instance").journal
     }
 
-    /// Lets time pass, in steps of 5 ms.
+    /// Advances the time in steps of 5 ms.
     pub fn run(&mut self, millis: u64) {
         self.run_by(millis, 5);
     }
 
-    /// Lets time pass in longer steps.
+    /// Advances the time in steps of `step` milliseconds.
     pub fn run_by(&mut self, millis: u64, step: u64) {
         for _ in 0..millis.div_ceil(step) {
             self.now += step * 1_000;
@@ -232,9 +240,9 @@
                 node.seat.follow(self.now, &self.script, &adopted);
             }
             self.deliver();
-            self.answer_calls();
+            self.deliver_platform_replies();
             self.dispatch();
-            self.end_calls();
+            self.finish_calls();
             self.tick();
         }
     }
@@ -243,7 +251,7 @@
         for id in self.instances() {
             if self.is_running(&id) {
                 let decisions = self.step(&id, Journal::tick);
-                self.decided(&id, decisions);
+                self.apply_decisions(&id, decisions);
             }
         }
     }
@@ -256,55 +264,56 @@
                 .get(id)
                 .is_some_and(|node| !node.seat.is_running(now))
         };
-        let flights = std::mem::take(&mut self.flights);
-        let (mut due, later): (Vec<_>, Vec<_>) = flights
+        let messages_in_flight = std::mem::take(&mut self.messages_in_flight);
+        let (mut due, later): (Vec<_>, Vec<_>) = messages_in_flight
             .into_iter()
-            .partition(|flight| flight.at <= now && !stopped(self, &flight.to));
-        self.flights = later;
-        due.sort_by_key(|flight| flight.at);
-        for flight in due {
+            .partition(|delivery| delivery.at <= now && !stopped(self, &delivery.to));
+        self.messages_in_flight = later;
+        due.sort_by_key(|delivery| delivery.at);
+        for delivery in due {
             if self
                 .nodes
-                .get(&flight.to)
+                .get(&delivery.to)
                 .is_some_and(|node| !node.seat.is_cut(now))
             {
-                let decisions = self.step(&flight.to, |journal, cx| {
-                    journal.message(cx, &flight.from, flight.message)
+                let decisions = self.step(&delivery.to, |journal, cx| {
+                    journal.message(cx, &delivery.from, delivery.message)
                 });
-                self.decided(&flight.to, decisions);
+                self.apply_decisions(&delivery.to, decisions);
             }
         }
     }
 
-    fn answer_calls(&mut self) {
+    fn deliver_platform_replies(&mut self) {
         let due = self.platform.run(self.now);
-        self.answers.extend(due);
-        for (life, answer) in std::mem::take(&mut self.answers) {
-            let Some(node) = self.nodes.get(&life.id) else {
+        self.platform_replies.extend(due);
+        for (member, reply) in std::mem::take(&mut self.platform_replies) {
+            let Some(node) = self.nodes.get(&member.id) else {
                 continue;
             };
-            if node.seat.own.local != life {
+            if node.seat.own.local != member {
                 continue;
             }
-            // A stopped process finds its answers when it goes on.
+            // A frozen process receives its replies when it resumes.
             if !node.seat.is_running(self.now) {
-                self.answers.push((life, answer));
+                self.platform_replies.push((member, reply));
                 continue;
             }
-            let decisions = self.step(&life.id, |journal, cx| journal.platform(cx, answer));
-            self.decided(&life.id, decisions);
+            let decisions = self.step(&member.id, |journal, cx| journal.platform(cx, reply));
+            self.apply_decisions(&member.id, decisions);
         }
     }
 
-    // Sends calls that had their `Send`, as a shell does: right before it looks at the clock.
+    // Sends the calls that had their `Send`. Like the daemon, it checks the clock right before
+    // sending.
     fn dispatch(&mut self) {
         let now = self.now;
         let dispatches = std::mem::take(&mut self.dispatches);
         for dispatch in dispatches {
-            let Some(node) = self.nodes.get(&dispatch.life.id) else {
+            let Some(node) = self.nodes.get(&dispatch.member.id) else {
                 continue;
             };
-            if node.seat.own.local != dispatch.life {
+            if node.seat.own.local != dispatch.member {
                 continue;
             }
             if dispatch.at > now || !node.seat.is_running(now) {
@@ -312,36 +321,36 @@
                 continue;
             }
             let outcome = if node.seat.local(now) < dispatch.send_before {
-                self.serve(dispatch.request)
+                self.run_service(dispatch.request)
             } else {
                 CallOutcome::NotRun
             };
             let at = now + self.rng.random_range(0..self.service_ms * 1_000);
             self.running.push(Running {
                 at,
-                life: dispatch.life,
+                member: dispatch.member,
                 request: dispatch.request,
                 outcome,
             });
         }
     }
 
-    fn serve(&mut self, request: RequestId) -> CallOutcome {
-        let ask = &self.asked[&request].ask;
-        let call = (ask.workspace.clone(), ask.key.clone());
+    fn run_service(&mut self, request: RequestId) -> CallOutcome {
+        let intent = &self.attempts[&request].intent;
+        let call = (intent.workspace.clone(), intent.key.clone());
         if self.service.runs() {
             self.runs.entry(call).or_default().push(request);
         }
-        self.service.outcome(request, self.answer_bytes)
+        self.service.outcome(request, self.response_bytes)
     }
 
-    fn end_calls(&mut self) {
+    fn finish_calls(&mut self) {
         let now = self.now;
         for running in std::mem::take(&mut self.running) {
-            let Some(node) = self.nodes.get(&running.life.id) else {
+            let Some(node) = self.nodes.get(&running.member.id) else {
                 continue;
             };
-            if node.seat.own.local != running.life {
+            if node.seat.own.local != running.member {
                 continue;
             }
             if running.at > now || !node.seat.is_running(now) {
@@ -349,8 +358,11 @@
                 continue;
             }
             let request = running.request;
-            self.asked.get_mut(&request).expect("asked").has_ended = true;
-            self.step(&running.life.id, |journal, cx| {
+            self.attempts
+                .get_mut(&request)
+                .expect("a known request")
+                .has_ended = true;
+            self.step(&running.member.id, |journal, cx| {
                 journal.record_outcome(cx, request, running.outcome);
             });
         }
@@ -358,15 +370,15 @@
 
     fn step<R>(&mut self, id: &InstanceId, act: impl FnOnce(&mut Journal, &mut Cx<'_>) -> R) -> R {
         let node = self.nodes.get_mut(id).expect("a running instance");
-        let local = node.seat.local(self.now);
+        let local_time = node.seat.local(self.now);
         let mut out = Vec::new();
         let mut cx = Cx {
-            now: local,
+            now: local_time,
             own: &node.seat.own,
             out: &mut out,
         };
         let result = act(&mut node.journal, &mut cx);
-        let life = node.seat.own.local.clone();
+        let member = node.seat.own.local.clone();
         let is_cut = node.seat.is_cut(self.now);
         for action in out {
             match action {
@@ -375,12 +387,12 @@
                         panic!("the journal only sends its own messages");
                     };
                     if !is_cut {
-                        self.post(&life.id, &to, &message);
+                        self.send_message(&member.id, &to, &message);
                     }
                 }
                 Action::Platform(call) => {
                     self.platform
-                        .call(self.now, life.clone(), call, local, &mut self.rng);
+                        .call(self.now, member.clone(), call, local_time, &mut self.rng);
                 }
                 Action::Notice(notice) => self.notices.push(notice),
                 other => panic!("the journal has no such action: {other:?}"),
@@ -389,16 +401,16 @@
         result
     }
 
-    fn post(&mut self, from: &InstanceId, to: &InstanceId, message: &JournalMessage) {
+    fn send_message(&mut self, from: &InstanceId, to: &InstanceId, message: &JournalMessage) {
         if self.rng.random_range(0..100) < self.lost_percent {
             return;
         }
-        let copies = 1 + u32::from(self.rng.random_range(0..100) < self.doubled_percent);
-        for copy in 0..copies {
-            // A doubled message may come seconds later.
-            let longest = self.longest_delay_ms.max(u64::from(copy) * 4_000);
-            self.flights.push(Flight {
-                at: self.now + self.rng.random_range(0..=longest * 1_000),
+        let copy_count = 1 + u32::from(self.rng.random_range(0..100) < self.duplicate_percent);
+        for copy in 0..copy_count {
+            // A duplicate may arrive seconds later.
+            let max_delay_ms = self.max_delay_ms.max(u64::from(copy) * 4_000);
+            self.messages_in_flight.push(MessageInFlight {
+                at: self.now + self.rng.random_range(0..=max_delay_ms * 1_000),
                 from: from.clone(),
                 to: to.clone(),
                 message: message.clone(),
@@ -406,26 +418,29 @@
         }
     }
 
-    fn decided(&mut self, id: &InstanceId, decisions: Vec<JournalDecision>) {
-        let life = self.nodes[id].seat.own.local.clone();
+    fn apply_decisions(&mut self, id: &InstanceId, decisions: Vec<JournalDecision>) {
+        let member = self.nodes[id].seat.own.local.clone();
         for decision in decisions {
-            let asked = self.asked.get_mut(&decision.request).expect("asked before");
+            let attempt = self
+                .attempts
+                .get_mut(&decision.request)
+                .expect("a known request");
             assert!(
-                asked.step.is_none(),
+                attempt.step.is_none(),
                 "{} was decided twice",
                 decision.request
             );
             assert_eq!(
-                asked.life, life,
+                attempt.sender, member,
                 "{} was decided elsewhere",
                 decision.request
             );
-            asked.decided_at = Some(self.now);
-            asked.step = Some(decision.step.clone());
+            attempt.decided_at = Some(self.now);
+            attempt.step = Some(decision.step.clone());
             if let JournalStep::Send { send_before } = decision.step {
                 self.dispatches.push(Dispatch {
                     at: self.now + self.rng.random_range(0..50_000),
-                    life: life.clone(),
+                    member: member.clone(),
                     request: decision.request,
                     send_before,
                 });
@@ -433,15 +448,16 @@
         }
     }
 
-    /// At most one run for each key, true refusals, and replays of the first answer only.
-    pub fn check(&self) {
+    /// Checks that each key ran at most once, that calls refused as not run did not run, and that
+    /// only the first response is replayed.
+    pub fn check_invariants(&self) {
         let mut ran = BTreeSet::new();
         for ((workspace, key), runs) in &self.runs {
             assert!(runs.len() <= 1, "{key} of {workspace} ran as {runs:?}");
             ran.extend(runs.iter().copied());
         }
-        for (request, asked) in &self.asked {
-            match &asked.step {
+        for (request, attempt) in &self.attempts {
+            match &attempt.step {
                 Some(JournalStep::Refuse(Refusal {
                     ran: Ran::No, kind, ..
                 })) => {
@@ -451,10 +467,10 @@
                     );
                 }
                 Some(JournalStep::Replay(replayed)) => {
-                    let call = (asked.ask.workspace.clone(), asked.ask.key.clone());
+                    let call = (attempt.intent.workspace.clone(), attempt.intent.key.clone());
                     let first = self.runs.get(&call).and_then(|runs| runs.first());
                     let first = *first.expect("only what ran is replayed");
-                    let kept = answer(first, self.answer_bytes);
+                    let kept = stored_response(first, self.response_bytes);
                     assert_eq!(*replayed, kept, "{request} got another answer");
                 }
                 _ => {}
@@ -462,34 +478,34 @@
         }
     }
 
-    /// Every caller whose instance still runs has its answer.
+    /// Checks that every caller whose instance still runs has received a decision.
     pub fn check_all_decided(&self) {
-        for (request, asked) in &self.asked {
-            let lives = self
+        for (request, attempt) in &self.attempts {
+            let is_sender_running = self
                 .nodes
-                .get(&asked.life.id)
-                .is_some_and(|node| node.seat.own.local == asked.life);
+                .get(&attempt.sender.id)
+                .is_some_and(|node| node.seat.own.local == attempt.sender);
             assert!(
-                asked.step.is_some() || !lives,
+                attempt.step.is_some() || !is_sender_running,
                 "{request} was never answered"
             );
         }
     }
 
     pub fn step_of(&self, request: RequestId) -> Option<&JournalStep> {
-        self.asked[&request].step.as_ref()
+        self.attempts[&request].step.as_ref()
     }
 
-    /// What became of each call so far, over all its repeats.
+    /// Returns the state of each call, over all its attempts so far.
     pub fn calls(&self) -> BTreeMap<IdempotencyKey, Call> {
         let mut calls: BTreeMap<IdempotencyKey, Call> = BTreeMap::new();
-        for asked in self.asked.values() {
-            let lives = self
+        for attempt in self.attempts.values() {
+            let is_sender_running = self
                 .nodes
-                .get(&asked.life.id)
-                .is_some_and(|node| node.seat.own.local == asked.life);
-            let call = calls.entry(asked.ask.key.clone()).or_default();
-            call.take(asked, lives);
+                .get(&attempt.sender.id)
+                .is_some_and(|node| node.seat.own.local == attempt.sender);
+            let call = calls.entry(attempt.intent.key.clone()).or_default();
+            call.add_attempt(attempt, is_sender_running);
         }
         calls
     }
--- a/crates/core/tests/support/journal_platform.rs
+++ b/crates/core/tests/support/journal_platform.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform's object API that may be away, slow, or lose its answers.
+//! A simulation of the platform's object API that can be unavailable, be slow, or lose replies.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,35 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// A late write takes effect this long after its answer was lost, at most.
-const LATEST_EFFECT_MS: u64 = 3_000;
+/// Maximum time after the lost reply at which a late write takes effect.
+const MAX_LATE_EFFECT_DELAY_MS: u64 = 3_000;
 
 struct Stored {
     value: Box<str>,
     version: ObjectVersion,
 }
 
-/// A call between its sending and its answer.
-pub struct Flight<C> {
+/// A call that was sent and has not been replied to.
+pub struct PendingCall<C> {
     pub caller: C,
     pub call: PlatformCall,
-    pub asked: Time,
+    pub sent_at: Time,
     effect_at: Option<u64>,
     answer_at: u64,
     is_lost: bool,
     reply: Option<PlatformReply>,
 }
 
-/// The objects, and how calls go wrong; times in microseconds.
+/// The stored objects and the injected failures. Times are in microseconds unless the name says
+/// otherwise.
 pub struct Platform<C> {
     objects: BTreeMap<ObjectName, Stored>,
-    flights: Vec<Flight<C>>,
+    pending_calls: Vec<PendingCall<C>>,
     last_version: u64,
-    pub away_until: u64,
+    pub unavailable_until: u64,
     pub lost_percent: u32,
-    pub longest_delay_ms: u64,
-    /// The next call takes effect and is answered after these times.
+    pub max_delay_ms: u64,
+    /// Delays until the next call takes effect and until its reply.
     pub next_delays_ms: Option<(u64, u64)>,
     pub writes: u64,
     pub reads: u64,
@@ -47,11 +48,11 @@
     pub const fn new() -> Self {
         Self {
             objects: BTreeMap::new(),
-            flights: Vec::new(),
+            pending_calls: Vec::new(),
             last_version: 0,
-            away_until: 0,
+            unavailable_until: 0,
             lost_percent: 0,
-            longest_delay_ms: 5,
+            max_delay_ms: 5,
             next_delays_ms: None,
             writes: 0,
             reads: 0,
@@ -64,27 +65,27 @@
         now: u64,
         caller: C,
         call: PlatformCall,
-        asked: Time,
+        sent_at: Time,
         rng: &mut ChaCha8Rng,
     ) {
         let delay = |rng: &mut ChaCha8Rng, millis: u64| rng.random_range(0..=millis * 1_000);
-        let away = now < self.away_until;
-        let is_lost = !away && rng.random_range(0..100) < self.lost_percent;
-        let mut effect_at = now + delay(rng, self.longest_delay_ms);
-        let mut answer_at = effect_at + delay(rng, self.longest_delay_ms);
+        let is_unavailable = now < self.unavailable_until;
+        let is_lost = !is_unavailable && rng.random_range(0..100) < self.lost_percent;
+        let mut effect_at = now + delay(rng, self.max_delay_ms);
+        let mut answer_at = effect_at + delay(rng, self.max_delay_ms);
         if let Some((effect_ms, answer_ms)) = self.next_delays_ms.take() {
             effect_at = now + effect_ms * 1_000;
             answer_at = now + answer_ms * 1_000;
         }
-        let effect_at = match (away, is_lost, rng.random_range(0..3)) {
+        let effect_at = match (is_unavailable, is_lost, rng.random_range(0..3)) {
             (true, ..) | (false, true, 0) => None,
-            (false, true, 1) => Some(answer_at + delay(rng, LATEST_EFFECT_MS)),
+            (false, true, 1) => Some(answer_at + delay(rng, MAX_LATE_EFFECT_DELAY_MS)),
             _ => Some(effect_at),
         };
-        self.flights.push(Flight {
+        self.pending_calls.push(PendingCall {
             caller,
             call,
-            asked,
+            sent_at,
             effect_at,
             answer_at,
             is_lost,
@@ -92,27 +93,33 @@
         });
     }
 
-    /// Lets calls take effect, and gives those whose answer is due.
+    /// Executes the calls that are due, and returns the replies that are due.
     pub fn run(&mut self, now: u64) -> Vec<(C, PlatformAnswer)>
     where
         C: Clone,
     {
-        self.flights.sort_by_key(|flight| flight.effect_at);
-        let mut flights = std::mem::take(&mut self.flights);
+        self.pending_calls
+            .sort_by_key(|pending_call| pending_call.effect_at);
+        let mut pending_calls = std::mem::take(&mut self.pending_calls);
         let mut answers = Vec::new();
-        for flight in &mut flights {
-            if flight.effect_at.is_some_and(|at| at <= now) && flight.reply.is_none() {
-                flight.reply = Some(self.execute(&flight.call.op));
+        for pending_call in &mut pending_calls {
+            if pending_call.effect_at.is_some_and(|at| at <= now) && pending_call.reply.is_none() {
+                pending_call.reply = Some(self.execute(&pending_call.call.op));
             }
-            if flight.answer_at <= now {
-                answers.push((flight.answer_at, flight.caller.clone(), answer(flight)));
-                flight.answer_at = u64::MAX;
+            if pending_call.answer_at <= now {
+                answers.push((
+                    pending_call.answer_at,
+                    pending_call.caller.clone(),
+                    reply_to(pending_call),
+                ));
+                pending_call.answer_at = u64::MAX;
             }
         }
-        let is_open = |flight: &Flight<C>| {
-            flight.answer_at != u64::MAX || (flight.effect_at.is_some() && flight.reply.is_none())
+        let is_open = |pending_call: &PendingCall<C>| {
+            pending_call.answer_at != u64::MAX
+                || (pending_call.effect_at.is_some() && pending_call.reply.is_none())
         };
-        self.flights = flights.into_iter().filter(is_open).collect();
+        self.pending_calls = pending_calls.into_iter().filter(is_open).collect();
         answers.sort_by_key(|(at, ..)| *at);
         answers
             .into_iter()
@@ -160,7 +167,8 @@
         PlatformReply::Written(version)
     }
 
-    /// How many objects there are, the longest value among them, and all values together.
+    /// Returns the number of objects, the length of the longest value, and the total length of all
+    /// values.
     pub fn size(&self) -> (usize, usize, u64) {
         let lengths = self.objects.values().map(|stored| stored.value.len());
         let longest = lengths.clone().max().unwrap_or(0);
@@ -168,16 +176,16 @@
     }
 }
 
-fn answer<C>(flight: &Flight<C>) -> PlatformAnswer {
-    let reply = match &flight.reply {
-        _ if flight.is_lost => PlatformReply::Unknown,
+fn reply_to<C>(pending_call: &PendingCall<C>) -> PlatformAnswer {
+    let reply = match &pending_call.reply {
+        _ if pending_call.is_lost => PlatformReply::Unknown,
         None => PlatformReply::Unavailable,
         Some(reply) => reply.clone(),
     };
     PlatformAnswer {
-        id: flight.call.id,
-        purpose: flight.call.purpose.clone(),
-        asked: flight.asked,
+        id: pending_call.call.id,
+        purpose: pending_call.call.purpose.clone(),
+        asked: pending_call.sent_at,
         reply,
     }
 }
--- a/crates/core/tests/support/journal_service.rs
+++ b/crates/core/tests/support/journal_service.rs
@@ -1,39 +1,39 @@
-//! A fake of a plain service whose calls may not be repeated.
+//! A simulated plain service whose calls may not be repeated.
 
 use bluebellstage_core::journal::{CallIntent, CallOutcome, JournalStep};
 use bluebellstage_core::{MemberRef, Refusal, RefusalKind, RequestId, StoredAnswer};
 
-/// What the fake service does with a call that reaches it.
+/// How the simulated service handles a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Service {
-    /// Runs it and answers.
-    Answers,
-    /// Can't be connected to.
-    Refuses,
-    /// Runs it and dies before it answers.
-    Dies,
-    /// Dies before it runs it; the sender can't tell.
-    DiesIdle,
+pub enum ServiceMode {
+    /// Runs the call and responds.
+    Responds,
+    /// Refuses connections.
+    RefusesConnection,
+    /// Runs the call and dies before it responds.
+    DiesAfterRun,
+    /// Dies before it runs the call. The sender can't distinguish this from `DiesAfterRun`.
+    DiesBeforeRun,
 }
 
-impl Service {
-    /// Whether a call that reaches it runs.
+impl ServiceMode {
+    /// Whether the service runs calls.
     pub const fn runs(self) -> bool {
-        matches!(self, Self::Answers | Self::Dies)
+        matches!(self, Self::Responds | Self::DiesAfterRun)
     }
 
-    /// What the sender of the call sees.
-    pub fn outcome(self, request: RequestId, answer_bytes: usize) -> CallOutcome {
+    /// Returns the outcome that the sender of the call observes.
+    pub fn outcome(self, request: RequestId, response_bytes: usize) -> CallOutcome {
         match self {
-            Self::Answers => CallOutcome::Answered(answer(request, answer_bytes)),
-            Self::Refuses => CallOutcome::NotRun,
-            Self::Dies | Self::DiesIdle => CallOutcome::Unknown,
+            Self::Responds => CallOutcome::Answered(stored_response(request, response_bytes)),
+            Self::RefusesConnection => CallOutcome::NotRun,
+            Self::DiesAfterRun | Self::DiesBeforeRun => CallOutcome::Unknown,
         }
     }
 }
 
-/// The service's answer to a request.
-pub fn answer(request: RequestId, bytes: usize) -> StoredAnswer {
+/// Returns the service's response to a request.
+pub fn stored_response(request: RequestId, bytes: usize) -> StoredAnswer {
     StoredAnswer {
         status: 200,
         content_type: "text/plain".into(),
@@ -41,48 +41,48 @@
     }
 }
 
-/// A request as the caller sees it.
+/// One request of a call, as its caller observes it. Times are in microseconds.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    pub ask: CallIntent,
-    pub life: MemberRef,
+pub struct Attempt {
+    pub intent: CallIntent,
+    pub sender: MemberRef,
     pub step: Option<JournalStep>,
-    pub at: u64,
+    pub sent_at: u64,
     pub decided_at: Option<u64>,
-    /// The call came to its end at the instance that holds the caller.
+    /// Whether the call has ended at the instance that holds the caller.
     pub has_ended: bool,
 }
 
-/// A call over all its repeats, as its caller sees it.
+/// A call over all its attempts, as its caller observes it.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    pub asked: usize,
-    /// No repeat is under way.
-    pub is_over: bool,
-    /// It needs no further repeat.
+    pub attempts: usize,
+    /// Whether no attempt is in progress.
+    pub is_finished: bool,
+    /// Whether no further attempt is needed.
     pub is_final: bool,
     pub is_in_doubt: bool,
-    /// The longest that a repeat waited for its word.
-    pub longest_wait_ms: u64,
+    /// The longest time that an attempt waited for its decision.
+    pub max_wait_ms: u64,
 }
 
 impl Call {
-    /// Takes the next repeat, in the order in which they were asked.
-    pub fn take(&mut self, asked: &Asked, lives: bool) {
-        self.asked += 1;
-        self.is_over = asked.step.is_some() || !lives;
+    /// Adds the next attempt. Attempts must be added in the order in which they were sent.
+    pub fn add_attempt(&mut self, attempt: &Attempt, is_sender_running: bool) {
+        self.attempts += 1;
+        self.is_finished = attempt.step.is_some() || !is_sender_running;
         let is_in_doubt = |refusal: &Refusal| refusal.kind == RefusalKind::InDoubt;
-        self.is_in_doubt = match &asked.step {
+        self.is_in_doubt = match &attempt.step {
             Some(JournalStep::Refuse(refusal)) => is_in_doubt(refusal),
             Some(JournalStep::Replay(_) | JournalStep::Send { .. }) | None => false,
         };
-        self.is_final = match &asked.step {
+        self.is_final = match &attempt.step {
             Some(JournalStep::Replay(_)) => true,
-            Some(JournalStep::Send { .. }) => lives || asked.has_ended,
+            Some(JournalStep::Send { .. }) => is_sender_running || attempt.has_ended,
             Some(JournalStep::Refuse(refusal)) => is_in_doubt(refusal),
             None => false,
         };
-        let waited = asked.decided_at.map_or(0, |at| at - asked.at);
-        self.longest_wait_ms = self.longest_wait_ms.max(waited / 1_000);
+        let waited = attempt.decided_at.map_or(0, |at| at - attempt.sent_at);
+        self.max_wait_ms = self.max_wait_ms.max(waited / 1_000);
     }
 }
