--- a/crates/core/src/catalogue/head.rs
+++ b/crates/core/src/catalogue/head.rs
@@ -182,7 +182,7 @@
 
 #[expect(
     clippy::expect_used,
-    reason = "all names given here are short and of legal letters"
+    reason = "all names passed here are short and contain only legal characters"
 )]
 fn legal_object_name(name: &str) -> ObjectName {
     ObjectName::try_from(name).expect("object names made here are legal")
--- a/crates/core/src/journal/caller.rs
+++ b/crates/core/src/journal/caller.rs
@@ -220,7 +220,7 @@
     }
 
     /// Removes the calls whose retention has expired.
-    pub fn forget(&mut self, now: Time) {
+    pub fn remove_expired(&mut self, now: Time) {
         self.calls.retain(|_request, (_intent, remembered_at)| {
             now < *remembered_at + UNSENT_CALL_RETENTION
         });
--- a/crates/core/src/journal/core.rs
+++ b/crates/core/src/journal/core.rs
@@ -176,7 +176,7 @@
             self.expire_call(cx.now, request, &mut decisions);
             self.send_due_message(cx, request);
         }
-        self.unsent_calls.forget(cx.now);
+        self.unsent_calls.remove_expired(cx.now);
         self.sweep(cx.now);
         self.advance_all(cx);
         decisions.extend(self.drain(cx));
--- a/crates/core/tests/journal.rs
+++ b/crates/core/tests/journal.rs
@@ -219,9 +219,9 @@
 
 #[test]
 fn late_intent_of_an_abandoned_call_does_not_block_its_key() {
-    // Guards against a key that stays blocked for a day. A request is abandoned while it waits for
-    // another run of the same call, and that run turns out not to have run. A duplicated intent of
-    // the abandoned request then arrives and is recorded, but no instance will send that call.
+    // Guards against a key that stays blocked for a day. A request is abandoned while another request
+    // makes the same call, and that call turns out not to have run. A duplicated intent of the
+    // abandoned request then arrives and is recorded, but no instance will send that call.
     let mut fleet = fleet();
     let [one, two] = non_owners(&fleet);
     fleet.service = ServiceMode::RefusesConnection;
--- a/crates/core/tests/support/journal_fleet.rs
+++ b/crates/core/tests/support/journal_fleet.rs
@@ -162,7 +162,7 @@
 
     pub fn owner(&self, workspace: &WorkspaceId) -> InstanceId {
         let key = bluebellstage_core::OwnershipKey::Workspace(workspace.clone());
-        self.script.map.owner(&key).expect("a home").clone()
+        self.script.map.owner(&key).expect("an owner").clone()
     }
 
     pub fn kill(&mut self, id: &InstanceId) {
@@ -471,7 +471,7 @@
                     let first = self.runs.get(&call).and_then(|runs| runs.first());
                     let first = *first.expect("only what ran is replayed");
                     let kept = stored_response(first, self.response_bytes);
-                    assert_eq!(*replayed, kept, "{request} got another answer");
+                    assert_eq!(*replayed, kept, "{request} got another response");
                 }
                 _ => {}
             }
@@ -487,7 +487,7 @@
                 .is_some_and(|node| node.seat.own.local == attempt.sender);
             assert!(
                 attempt.step.is_some() || !is_sender_running,
-                "{request} was never answered"
+                "{request} was never decided"
             );
         }
     }
--- a/crates/core/tests/support/journal_platform.rs
+++ b/crates/core/tests/support/journal_platform.rs
@@ -23,7 +23,7 @@
     pub call: PlatformCall,
     pub sent_at: Time,
     effect_at: Option<u64>,
-    answer_at: u64,
+    reply_at: u64,
     is_lost: bool,
     reply: Option<PlatformReply>,
 }
@@ -72,14 +72,14 @@
         let is_unavailable = now < self.unavailable_until;
         let is_lost = !is_unavailable && rng.random_range(0..100) < self.lost_percent;
         let mut effect_at = now + delay(rng, self.max_delay_ms);
-        let mut answer_at = effect_at + delay(rng, self.max_delay_ms);
-        if let Some((effect_ms, answer_ms)) = self.next_delays_ms.take() {
+        let mut reply_at = effect_at + delay(rng, self.max_delay_ms);
+        if let Some((effect_ms, reply_ms)) = self.next_delays_ms.take() {
             effect_at = now + effect_ms * 1_000;
-            answer_at = now + answer_ms * 1_000;
+            reply_at = now + reply_ms * 1_000;
         }
         let effect_at = match (is_unavailable, is_lost, rng.random_range(0..3)) {
             (true, ..) | (false, true, 0) => None,
-            (false, true, 1) => Some(answer_at + delay(rng, MAX_LATE_EFFECT_DELAY_MS)),
+            (false, true, 1) => Some(reply_at + delay(rng, MAX_LATE_EFFECT_DELAY_MS)),
             _ => Some(effect_at),
         };
         self.pending_calls.push(PendingCall {
@@ -87,7 +87,7 @@
             call,
             sent_at,
             effect_at,
-            answer_at,
+            reply_at,
             is_lost,
             reply: None,
         });
@@ -101,27 +101,27 @@
         self.pending_calls
             .sort_by_key(|pending_call| pending_call.effect_at);
         let mut pending_calls = std::mem::take(&mut self.pending_calls);
-        let mut answers = Vec::new();
+        let mut due_replies = Vec::new();
         for pending_call in &mut pending_calls {
             if pending_call.effect_at.is_some_and(|at| at <= now) && pending_call.reply.is_none() {
                 pending_call.reply = Some(self.execute(&pending_call.call.op));
             }
-            if pending_call.answer_at <= now {
-                answers.push((
-                    pending_call.answer_at,
+            if pending_call.reply_at <= now {
+                due_replies.push((
+                    pending_call.reply_at,
                     pending_call.caller.clone(),
                     reply_to(pending_call),
                 ));
-                pending_call.answer_at = u64::MAX;
+                pending_call.reply_at = u64::MAX;
             }
         }
         let is_open = |pending_call: &PendingCall<C>| {
-            pending_call.answer_at != u64::MAX
+            pending_call.reply_at != u64::MAX
                 || (pending_call.effect_at.is_some() && pending_call.reply.is_none())
         };
         self.pending_calls = pending_calls.into_iter().filter(is_open).collect();
-        answers.sort_by_key(|(at, ..)| *at);
-        answers
+        due_replies.sort_by_key(|(at, ..)| *at);
+        due_replies
             .into_iter()
             .map(|(_at, caller, answer)| (caller, answer))
             .collect()
