--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -35,7 +35,7 @@
 /// A request that isn't one.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("bad request: {0}")]
-pub struct BadCall(pub Box<str>);
+pub struct BadRequest(pub Box<str>);
 
 /// How callers and targets speak.
 pub trait Protocol: Debug + Send + Sync + 'static {
@@ -44,19 +44,19 @@
     /// # Errors
     ///
     /// The request lacks what every request must have, or has it malformed.
-    fn call(&self, head: &request::Parts) -> Result<Call, BadCall>;
+    fn call(&self, head: &request::Parts) -> Result<Call, BadRequest>;
 
     /// Headers of the request to a target.
     fn forward_headers(&self, head: &request::Parts, forward: &Forward<'_>) -> HeaderMap;
 
     /// Decodes the head of a target's answer.
-    fn answer_head(&self, head: &response::Parts) -> ResponseHead;
+    fn response_head(&self, head: &response::Parts) -> ResponseHead;
 
     /// Headers of a target's answer that go on to the caller.
-    fn answer_headers(&self, head: &response::Parts) -> HeaderMap;
+    fn response_headers(&self, head: &response::Parts) -> HeaderMap;
 
     /// Body of an answer of our own.
-    fn own_body(&self, message: &str) -> Bytes;
+    fn error_body(&self, message: &str) -> Bytes;
 
     /// The call that reads an engine's report.
     fn report_request(&self, target: &Target) -> Request<Bytes>;
@@ -74,13 +74,13 @@
     ) -> Request<Bytes>;
 
     /// Decodes an engine's answer to an order.
-    fn order_answer(&self, status: StatusCode) -> OrderOutcome;
+    fn order_outcome(&self, status: StatusCode) -> OrderOutcome;
 
     /// Whether a caller asks which addresses to use; the failure domain that it names.
     fn is_resolve(&self, head: &request::Parts) -> Option<Option<Box<str>>>;
 
     /// Body of the answer to that question.
-    fn resolved(&self, addresses: &[SocketAddr], keep: Duration) -> Bytes;
+    fn resolve_body(&self, addresses: &[SocketAddr], keep: Duration) -> Bytes;
 
     /// Whether the platform asks if the instance is ready.
     fn is_readiness(&self, head: &request::Parts) -> bool;
--- a/crates/gateway/src/net/accept.rs
+++ b/crates/gateway/src/net/accept.rs
@@ -15,19 +15,19 @@
 
 use crate::edge::Edge;
 
+use super::local_response::ResponseBody;
 use super::log::{LogEvent, event};
 use super::node::Node;
-use super::refuse::AnswerBody;
-use super::sockets::tune;
+use super::sockets::set_options;
 
 /// Pause after a connection that could not be accepted, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Pause between looks at a connection's idle time.
-const IDLE_LOOK: Duration = Duration::from_secs(2);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Which requests a listener serves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Door {
+pub(super) enum ListenerKind {
     /// Callers' requests.
     Front,
     /// Questions of callers and the platform.
@@ -37,16 +37,20 @@
 }
 
 /// Serves connections until the process ends.
-pub(super) async fn serve<E: Edge>(node: Arc<Node<E>>, listener: TcpListener, door: Door) {
+pub(super) async fn serve<E: Edge>(
+    node: Arc<Node<E>>,
+    listener: TcpListener,
+    listener_kind: ListenerKind,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tune(&stream);
-                tokio::spawn(connection(Arc::clone(&node), stream, door));
+                set_options(&stream);
+                tokio::spawn(connection(Arc::clone(&node), stream, listener_kind));
             }
             Err(err) => {
                 event(LogEvent::AcceptFailed, &[("cause", &err.to_string())]);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -55,7 +59,7 @@
 /// What goes on on a connection.
 #[derive(Debug, Default)]
 struct Activity {
-    open: AtomicUsize,
+    open_requests: AtomicUsize,
     /// Milliseconds of the process's clock when the last answer ended.
     idle_since: AtomicU64,
 }
@@ -64,18 +68,18 @@
     node.now().0 / 1_000
 }
 
-struct Counted<E: Edge>(Arc<Node<E>>);
+struct ConnectionGuard<E: Edge>(Arc<Node<E>>);
 
-impl<E: Edge> Drop for Counted<E> {
+impl<E: Edge> Drop for ConnectionGuard<E> {
     fn drop(&mut self) {
         self.0.connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-async fn connection<E: Edge>(node: Arc<Node<E>>, stream: TcpStream, door: Door) {
-    let counted = (door == Door::Front).then(|| {
+async fn connection<E: Edge>(node: Arc<Node<E>>, stream: TcpStream, listener_kind: ListenerKind) {
+    let connection_guard = (listener_kind == ListenerKind::Front).then(|| {
         node.connections.fetch_add(1, Ordering::Relaxed);
-        Counted(Arc::clone(&node))
+        ConnectionGuard(Arc::clone(&node))
     });
     let limits = node.tables().routes.config().limits;
     let activity = Arc::new(Activity::default());
@@ -83,77 +87,80 @@
     let service = service_fn(|req| {
         let node = Arc::clone(&node);
         let activity = Arc::clone(&activity);
-        async move { Ok::<_, Infallible>(respond(node, activity, req, door).await) }
+        async move { Ok::<_, Infallible>(respond(node, activity, req, listener_kind).await) }
     });
     let serving = http1::Builder::new()
         .max_buf_size(limits.header_bytes.max(8 * 1_024) * 4)
         .serve_connection(TokioIo::new(stream), service);
     let mut serving = pin!(serving);
-    let mut asked_to_end = false;
+    let mut is_shutting_down = false;
     loop {
-        let look = tokio::time::sleep(IDLE_LOOK);
+        let tick = tokio::time::sleep(IDLE_CHECK_INTERVAL);
         tokio::select! {
             // A broken connection has nobody left to tell; its request logged what it met.
             _ended = serving.as_mut() => break,
-            () = look => {}
-            () = node.stop.notified(), if !asked_to_end => {}
+            () = tick => {}
+            () = node.stop.notified(), if !is_shutting_down => {}
         }
         let idle = millis(&node).saturating_sub(activity.idle_since.load(Ordering::Relaxed));
         let idle = Duration::from_millis(idle);
-        let unused = activity.open.load(Ordering::Relaxed) == 0;
+        let unused = activity.open_requests.load(Ordering::Relaxed) == 0;
         let limit = node.tables().routes.config().limits.idle_timeout;
-        let closing = node.closing();
-        if !asked_to_end && (closing || unused && idle > limit) {
+        let closing = node.is_closing();
+        if !is_shutting_down && (closing || unused && idle > limit) {
             serving.as_mut().graceful_shutdown();
-            asked_to_end = true;
+            is_shutting_down = true;
         }
     }
-    drop(counted);
+    drop(connection_guard);
 }
 
 async fn respond<E: Edge>(
     node: Arc<Node<E>>,
     activity: Arc<Activity>,
     req: Request<Incoming>,
-    door: Door,
-) -> Response<Held<E>> {
-    activity.open.fetch_add(1, Ordering::Relaxed);
-    let hold = Hold {
+    listener_kind: ListenerKind,
+) -> Response<GuardedBody<E>> {
+    activity.open_requests.fetch_add(1, Ordering::Relaxed);
+    let guard = ActivityGuard {
         node: Arc::clone(&node),
         activity,
     };
-    let mut res = match door {
-        Door::Front => super::front::serve(Arc::clone(&node), req).await,
-        Door::Directory => super::directory::answer(&node, &req),
-        Door::Control => super::control::answer(&node, &req),
+    let mut res = match listener_kind {
+        ListenerKind::Front => super::front::serve(Arc::clone(&node), req).await,
+        ListenerKind::Directory => super::directory::respond(&node, &req),
+        ListenerKind::Control => super::control::respond(&node, &req),
     };
-    if node.stopping() {
+    if node.is_stopping() {
         let close = HeaderValue::from_static("close");
         res.headers_mut().insert(header::CONNECTION, close);
     }
-    res.map(|body| Held { body, _hold: hold })
+    res.map(|body| GuardedBody {
+        body,
+        _guard: guard,
+    })
 }
 
-struct Hold<E: Edge> {
+struct ActivityGuard<E: Edge> {
     node: Arc<Node<E>>,
     activity: Arc<Activity>,
 }
 
-impl<E: Edge> Drop for Hold<E> {
+impl<E: Edge> Drop for ActivityGuard<E> {
     fn drop(&mut self) {
         let now = millis(&self.node);
         self.activity.idle_since.store(now, Ordering::Relaxed);
-        self.activity.open.fetch_sub(1, Ordering::Relaxed);
+        self.activity.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// A body that marks its connection as busy until it is sent.
-struct Held<E: Edge> {
-    body: AnswerBody,
-    _hold: Hold<E>,
+struct GuardedBody<E: Edge> {
+    body: ResponseBody,
+    _guard: ActivityGuard<E>,
 }
 
-impl<E: Edge> Body for Held<E> {
+impl<E: Edge> Body for GuardedBody<E> {
     type Data = bytes::Bytes;
     type Error = std::io::Error;
 
--- a/crates/gateway/src/net/attempt.rs
+++ b/crates/gateway/src/net/attempt.rs
@@ -16,7 +16,7 @@
 use crate::decide::prompt_queues::WaitingKey;
 use crate::decide::tables::Tables;
 use crate::edge::{Edge, Protocol};
-use crate::packet::{Wish, WishKind};
+use crate::packet::{AdapterRequest, AdapterRequestKind};
 
 use super::log::{LogEvent, event};
 use super::node::Node;
@@ -24,13 +24,13 @@
 use super::sockets::connect;
 
 /// Time for a connection; a full queue of new connections would cost a second.
-const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Longest answer that is read whole before it goes on.
-const LONGEST_BUFFERED: usize = 4 * 1_024 * 1_024;
+const MAX_BUFFERED_BYTES: usize = 4 * 1_024 * 1_024;
 
 /// Counts a request at a target while it is there.
 #[derive(Debug)]
-pub(super) struct Flight<E: Edge> {
+pub(super) struct InFlight<E: Edge> {
     node: Arc<Node<E>>,
     pub(super) target: TargetId,
     adapter: Option<AdapterKey>,
@@ -40,45 +40,45 @@
     /// The request was on a target that ended.
     suspect: bool,
     /// When it began to answer.
-    answers_since: Option<Time>,
-    judged: bool,
+    responding_since: Option<Time>,
+    is_outcome_recorded: bool,
 }
 
-impl<E: Edge> Flight<E> {
-    fn begin(node: &Arc<Node<E>>, target: &TargetId, sending: Sending<'_>) -> Self {
+impl<E: Edge> InFlight<E> {
+    fn begin(node: &Arc<Node<E>>, target: &TargetId, params: SendParams<'_>) -> Self {
         let mut tables = node.tables();
         tables.start_request(target);
-        if sending.suspect {
+        if params.suspect {
             tables.start_suspect(target);
         }
-        if sending.trial {
+        if params.trial {
             tables.health.start_trial(target);
         }
         let now = node.now();
-        if let Some(key) = Tables::adapter_of(sending.call) {
+        if let Some(key) = Tables::adapter_of(params.call) {
             tables.residency.record_sent(target, key, now);
         }
-        let call = sending.call;
+        let call = params.call;
         let prompts = call.wanted.is_some();
         let waiting = prompts.then(|| tables.record_prompt(target, call, now));
         drop(tables);
-        let flight = Self {
+        let in_flight = Self {
             node: Arc::clone(node),
             target: target.clone(),
-            adapter: Tables::adapter_of(sending.call).cloned(),
+            adapter: Tables::adapter_of(params.call).cloned(),
             waiting,
             sent: now,
-            suspect: sending.suspect,
-            answers_since: None,
-            judged: false,
+            suspect: params.suspect,
+            responding_since: None,
+            is_outcome_recorded: false,
         };
-        flight.tell_loader(WishKind::Begun);
-        flight
+        in_flight.notify_loader(AdapterRequestKind::Started);
+        in_flight
     }
 
-    fn tell_loader(&self, kind: WishKind) {
+    fn notify_loader(&self, kind: AdapterRequestKind) {
         if let Some(key) = &self.adapter {
-            self.node.wish(Wish {
+            self.node.queue_adapter_request(AdapterRequest {
                 target: self.target.clone(),
                 key: key.clone(),
                 kind,
@@ -87,8 +87,8 @@
     }
 
     /// The engine has begun: it answers with the first event.
-    fn begun(&mut self) {
-        self.answers_since = Some(self.node.now());
+    fn record_started(&mut self) {
+        self.responding_since = Some(self.node.now());
         if let Some(waiting) = self.waiting.take() {
             self.node
                 .tables()
@@ -98,24 +98,24 @@
     }
 
     /// Notes what the request met; the first word counts.
-    pub(super) fn met(&mut self, met: TargetOutcome) {
-        if std::mem::replace(&mut self.judged, true) {
+    pub(super) fn record_outcome(&mut self, outcome: TargetOutcome) {
+        if std::mem::replace(&mut self.is_outcome_recorded, true) {
             return;
         }
-        self.judge(met);
+        self.apply_outcome(outcome);
     }
 
-    fn judge(&self, met: TargetOutcome) {
+    fn apply_outcome(&self, outcome: TargetOutcome) {
         let now = self.node.now();
         let ejected = self
             .node
             .tables()
             .health
-            .record_outcome(&self.target, met, now);
+            .record_outcome(&self.target, outcome, now);
         if ejected {
-            self.node.metrics.ejected();
+            self.node.metrics.target_ejected();
             let target = self.target.to_string();
-            let met = format!("{met:?}");
+            let met = format!("{outcome:?}");
             event(
                 LogEvent::TargetEjected,
                 &[("target", &target), ("met", &met)],
@@ -124,14 +124,14 @@
     }
 
     /// Notes a failure, also after a good beginning.
-    pub(super) fn failed(&mut self) {
-        self.judged = true;
-        self.judge(TargetOutcome::Failure);
+    pub(super) fn record_failure(&mut self) {
+        self.is_outcome_recorded = true;
+        self.apply_outcome(TargetOutcome::Failure);
     }
 
-    fn failed_by(&self, failure: Failure) -> Attempt<E> {
-        let ran = self.ran();
-        Attempt::Failed(CutShort { failure, ran })
+    fn failed_attempt(&self, failure: Failure) -> Attempt<E> {
+        let run_time = self.run_time();
+        Attempt::Failed(FailedRun { failure, run_time })
     }
 
     /// Time since the request was sent.
@@ -140,13 +140,13 @@
     }
 
     /// Time since the target began to answer, or since the request was sent if it did not.
-    pub(super) fn ran(&self) -> Duration {
-        let since = self.answers_since.unwrap_or(self.sent);
+    pub(super) fn run_time(&self) -> Duration {
+        let since = self.responding_since.unwrap_or(self.sent);
         self.node.now().since(since)
     }
 }
 
-impl<E: Edge> Drop for Flight<E> {
+impl<E: Edge> Drop for InFlight<E> {
     fn drop(&mut self) {
         let mut tables = self.node.tables();
         tables.end_request(&self.target);
@@ -156,21 +156,21 @@
         if let Some(waiting) = self.waiting.take() {
             tables.queues.remove(waiting);
         }
-        if !self.judged {
+        if !self.is_outcome_recorded {
             tables.health.cancel_trial(&self.target);
         }
         drop(tables);
-        self.tell_loader(WishKind::Ended);
+        self.notify_loader(AdapterRequestKind::Ended);
     }
 }
 
 /// An answer whose body is still to come.
 #[derive(Debug)]
-pub(super) struct Answer<E: Edge> {
+pub(super) struct TargetResponse<E: Edge> {
     pub(super) parts: response::Parts,
     pub(super) head: ResponseHead,
     pub(super) body: Incoming,
-    pub(super) flight: Flight<E>,
+    pub(super) in_flight: InFlight<E>,
     connection: Connection,
 }
 
@@ -189,18 +189,18 @@
 
 /// An answer that did not come whole.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct CutShort {
+pub(super) struct FailedRun {
     pub(super) failure: Failure,
     /// How long it may have run.
-    pub(super) ran: Duration,
+    pub(super) run_time: Duration,
 }
 
-impl CutShort {
+impl FailedRun {
     /// A connection that broke after so long.
-    pub(super) const fn broken(ran: Duration) -> Self {
+    pub(super) const fn broken(run_time: Duration) -> Self {
         Self {
             failure: Failure::Broken,
-            ran,
+            run_time,
         }
     }
 }
@@ -209,19 +209,19 @@
 #[derive(Debug)]
 pub(super) enum Attempt<E: Edge> {
     /// The target answers.
-    Answer(Box<Answer<E>>),
+    Response(Box<TargetResponse<E>>),
     /// The target says that it did not run the request; `misdirected`: it isn't the one that was
     /// meant, or doesn't hold what was asked for.
     NotRun { misdirected: bool },
     /// There is no connection: nothing was sent.
     Unreachable,
     /// It may have run.
-    Failed(CutShort),
+    Failed(FailedRun),
 }
 
 /// What is sent.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Sending<'a> {
+pub(super) struct SendParams<'a> {
     pub(super) head: &'a request::Parts,
     pub(super) body: &'a Bytes,
     pub(super) call: &'a Call,
@@ -233,14 +233,14 @@
     /// The adapter's version that is asked for.
     pub(super) version: Option<AdapterVersion>,
     /// Longest wait for the head of the answer.
-    pub(super) patience: Duration,
+    pub(super) max_wait: Duration,
 }
 
 /// Sends a request to a target and waits for the head of its answer.
 pub(super) async fn send<E: Edge>(
     node: &Arc<Node<E>>,
     target: &TargetId,
-    sending: Sending<'_>,
+    params: SendParams<'_>,
     forward: &Forward<'_>,
 ) -> Attempt<E> {
     let Some(address) = node
@@ -251,45 +251,47 @@
     else {
         return Attempt::Unreachable;
     };
-    let mut flight = Flight::begin(node, target, sending);
-    let exchange = exchange(node, target, address, sending, forward);
+    let mut in_flight = InFlight::begin(node, target, params);
+    let exchange = exchange(node, target, address, params, forward);
     let outcome = tokio::select! {
-        outcome = tokio::time::timeout(sending.patience, exchange) => match outcome {
+        outcome = tokio::time::timeout(params.max_wait, exchange) => match outcome {
             Ok(outcome) => outcome,
             Err(_elapsed) => Exchange::Failed(Failure::Silent),
         },
-        () = outdated(node, sending) => Exchange::Failed(Failure::Outdated),
+        () = wait_until_outdated(node, params) => Exchange::Failed(Failure::Outdated),
     };
-    node.metrics.attempted(outcome.name());
+    node.metrics.attempt_ended(outcome.name());
     match outcome {
-        Exchange::Answer(parts, body, connection) => {
-            let head = node.protocol.answer_head(&parts);
+        Exchange::Response(parts, body, connection) => {
+            let head = node.protocol.response_head(&parts);
             // A refusal may lack what an answer says.
             if !(head.not_run && head.limit == ReportedLimit::Unlimited) {
-                note_limit(node, target, head.limit, flight.sent);
+                record_limit(node, target, head.limit, in_flight.sent);
             }
-            judge_head(sending, *parts, head, body, flight, connection)
+            classify_response(params, *parts, head, body, in_flight, connection)
         }
         Exchange::Unreachable => {
-            flight.met(TargetOutcome::Unreachable);
+            in_flight.record_outcome(TargetOutcome::Unreachable);
             Attempt::Unreachable
         }
         Exchange::Failed(failure) => {
-            let fair = failure != Failure::Silent || sending.patience > LEAST_FAIR_WAIT;
-            if fair && failure != Failure::Outdated {
-                flight.met(TargetOutcome::Failure);
+            let is_blamed = failure != Failure::Silent || params.max_wait > MIN_BLAMED_WAIT;
+            if is_blamed && failure != Failure::Outdated {
+                in_flight.record_outcome(TargetOutcome::Failure);
             }
-            flight.failed_by(failure)
+            in_flight.failed_attempt(failure)
         }
     }
 }
 
 /// Takes in what the answer to a request that was `sent` then says of its target's limit.
-fn note_limit<E: Edge>(node: &Node<E>, target: &TargetId, said: ReportedLimit, sent: Time) {
+fn record_limit<E: Edge>(node: &Node<E>, target: &TargetId, reported: ReportedLimit, sent: Time) {
     let now = node.now();
-    let change = node.tables().record_reported_limit(target, said, sent, now);
+    let change = node
+        .tables()
+        .record_reported_limit(target, reported, sent, now);
     let id = target.to_string();
-    if said == ReportedLimit::Malformed {
+    if reported == ReportedLimit::Malformed {
         event(LogEvent::LimitMalformed, &[("target", &id)]);
     }
     match change {
@@ -304,16 +306,18 @@
 }
 
 /// Pause between looks whether a newer version was announced for a request that waits.
-const VERSION_LOOK: Duration = Duration::from_millis(250);
+const VERSION_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Ends when the request must not begin any more, as its adapter's version is out of date.
-async fn outdated<E: Edge>(node: &Node<E>, sending: Sending<'_>) {
-    let (Some(key), Some(version)) = (Tables::adapter_of(sending.call), sending.version) else {
+async fn wait_until_outdated<E: Edge>(node: &Node<E>, params: SendParams<'_>) {
+    let (Some(key), Some(version)) = (Tables::adapter_of(params.call), params.version) else {
         return std::future::pending().await;
     };
     loop {
-        let by = node.tables().versions.start_deadline(key, version);
-        let left = by.map_or(VERSION_LOOK, |by| by.since(node.now()).min(VERSION_LOOK));
+        let deadline = node.tables().versions.start_deadline(key, version);
+        let left = deadline.map_or(VERSION_CHECK_INTERVAL, |deadline| {
+            deadline.since(node.now()).min(VERSION_CHECK_INTERVAL)
+        });
         if left.is_zero() {
             return;
         }
@@ -322,44 +326,44 @@
 }
 
 /// A target that was waited for shorter than this isn't blamed for its silence.
-const LEAST_FAIR_WAIT: Duration = Duration::from_millis(200);
+const MIN_BLAMED_WAIT: Duration = Duration::from_millis(200);
 
-fn judge_head<E: Edge>(
-    sending: Sending<'_>,
+fn classify_response<E: Edge>(
+    params: SendParams<'_>,
     parts: response::Parts,
     head: ResponseHead,
     body: Incoming,
-    mut flight: Flight<E>,
+    mut in_flight: InFlight<E>,
     connection: Connection,
 ) -> Attempt<E> {
     let misdirected = parts.status.as_u16() == 421;
-    let other = head.id.as_ref().is_some_and(|id| *id != sending.call.id);
-    if other {
-        flight.met(TargetOutcome::Failure);
-        return flight.failed_by(Failure::WrongAnswer);
+    let is_other_request = head.id.as_ref().is_some_and(|id| *id != params.call.id);
+    if is_other_request {
+        in_flight.record_outcome(TargetOutcome::Failure);
+        return in_flight.failed_attempt(Failure::WrongAnswer);
     }
     if head.not_run || misdirected {
         return Attempt::NotRun { misdirected };
     }
-    let encoded = parts.headers.contains_key(http::header::CONTENT_ENCODING);
-    if parts.status.is_success() && (!head.signed || head.id.is_none() || encoded) {
-        flight.met(TargetOutcome::Failure);
-        return flight.failed_by(Failure::WrongAnswer);
+    let is_encoded = parts.headers.contains_key(http::header::CONTENT_ENCODING);
+    if parts.status.is_success() && (!head.signed || head.id.is_none() || is_encoded) {
+        in_flight.record_outcome(TargetOutcome::Failure);
+        return in_flight.failed_attempt(Failure::WrongAnswer);
     }
     if parts.status.is_success() {
-        flight.begun();
+        in_flight.record_started();
     }
-    Attempt::Answer(Box::new(Answer {
+    Attempt::Response(Box::new(TargetResponse {
         parts,
         head,
         body,
-        flight,
+        in_flight,
         connection,
     }))
 }
 
 enum Exchange {
-    Answer(Box<response::Parts>, Incoming, Connection),
+    Response(Box<response::Parts>, Incoming, Connection),
     Unreachable,
     Failed(Failure),
 }
@@ -367,7 +371,7 @@
 impl Exchange {
     const fn name(&self) -> &'static str {
         match self {
-            Self::Answer(..) => "answer",
+            Self::Response(..) => "answer",
             Self::Unreachable => "unreachable",
             Self::Failed(Failure::Broken) => "broken",
             Self::Failed(Failure::Silent) => "silent",
@@ -381,22 +385,22 @@
     node: &Arc<Node<E>>,
     target: &TargetId,
     address: std::net::SocketAddr,
-    sending: Sending<'_>,
+    params: SendParams<'_>,
     forward: &Forward<'_>,
 ) -> Exchange {
-    let kept = sending.reuse.then(|| node.pool.take(target)).flatten();
-    let connection = match kept {
+    let pooled = params.reuse.then(|| node.pool.take(target)).flatten();
+    let connection = match pooled {
         Some(connection) => Some(connection),
         None => open(address).await,
     };
     let Some(mut connection) = connection else {
         return Exchange::Unreachable;
     };
-    let req = target_request(node, sending, forward);
+    let req = target_request(node, params, forward);
     match connection.tx.try_send_request(req).await {
-        Ok(answer) => {
-            let (parts, body) = answer.into_parts();
-            Exchange::Answer(Box::new(parts), body, connection)
+        Ok(response) => {
+            let (parts, body) = response.into_parts();
+            Exchange::Response(Box::new(parts), body, connection)
         }
         Err(mut err) => match err.take_message() {
             Some(_unsent) => Exchange::Unreachable,
@@ -406,62 +410,62 @@
 }
 
 async fn open(address: std::net::SocketAddr) -> Option<Connection> {
-    let stream = connect(address, CONNECT_WITHIN).await.ok()?;
-    Connection::over(stream).await.ok()
+    let stream = connect(address, CONNECT_TIMEOUT).await.ok()?;
+    Connection::handshake(stream).await.ok()
 }
 
 fn target_request<E: Edge>(
     node: &Node<E>,
-    sending: Sending<'_>,
+    params: SendParams<'_>,
     forward: &Forward<'_>,
 ) -> Request<Full<Bytes>> {
-    let mut req = Request::new(Full::new(sending.body.clone()));
-    *req.method_mut() = sending.head.method.clone();
-    *req.uri_mut() = sending.head.uri.clone();
-    *req.headers_mut() = node.protocol.forward_headers(sending.head, forward);
+    let mut req = Request::new(Full::new(params.body.clone()));
+    *req.method_mut() = params.head.method.clone();
+    *req.uri_mut() = params.head.uri.clone();
+    *req.headers_mut() = node.protocol.forward_headers(params.head, forward);
     req
 }
 
-impl<E: Edge> Answer<E> {
+impl<E: Edge> TargetResponse<E> {
     /// Reads the body whole; the connection is kept if it may be.
     pub(super) async fn collect(
         self,
-        within: Duration,
-    ) -> Result<(response::Parts, Bytes), CutShort> {
+        timeout: Duration,
+    ) -> Result<(response::Parts, Bytes), FailedRun> {
         let Self {
             parts,
             head,
             body,
-            mut flight,
+            mut in_flight,
             connection,
         } = self;
-        let reading = Limited::new(body, LONGEST_BUFFERED).collect();
-        let read = tokio::time::timeout(within, reading).await;
+        let reading = Limited::new(body, MAX_BUFFERED_BYTES).collect();
+        let read = tokio::time::timeout(timeout, reading).await;
         let failure = match read {
             Ok(Ok(body)) => {
                 let failed = parts.status.is_server_error();
-                flight.met(if failed {
+                in_flight.record_outcome(if failed {
                     TargetOutcome::Failure
                 } else {
-                    TargetOutcome::Answer(flight.age())
+                    TargetOutcome::Answer(in_flight.age())
                 });
-                keep(&flight, &head, connection);
+                return_to_pool(&in_flight, &head, connection);
                 return Ok((parts, body.to_bytes()));
             }
             Ok(Err(_broken)) => Failure::Broken,
             Err(_elapsed) => Failure::Silent,
         };
-        flight.met(TargetOutcome::Failure);
-        let ran = flight.ran();
-        Err(CutShort { failure, ran })
+        in_flight.record_outcome(TargetOutcome::Failure);
+        let run_time = in_flight.run_time();
+        Err(FailedRun { failure, run_time })
     }
 
     /// Splits the answer for streaming.
-    pub(super) fn into_stream(self) -> (response::Parts, Source<E>) {
-        let source = Source {
+    pub(super) fn into_stream(self) -> (response::Parts, TargetStream<E>) {
+        let source = TargetStream {
             head: self.head,
             body: self.body,
-            flight: self.flight,
+            in_flight: self.in_flight,
             connection: self.connection,
         };
         (self.parts, source)
@@ -470,23 +474,23 @@
 
 /// The rest of a streamed answer.
 #[derive(Debug)]
-pub(super) struct Source<E: Edge> {
+pub(super) struct TargetStream<E: Edge> {
     head: ResponseHead,
     pub(super) body: Incoming,
-    pub(super) flight: Flight<E>,
+    pub(super) in_flight: InFlight<E>,
     connection: Connection,
 }
 
-impl<E: Edge> Source<E> {
+impl<E: Edge> TargetStream<E> {
     /// The stream ended as it should.
     pub(super) fn finish(self) {
-        keep(&self.flight, &self.head, self.connection);
+        return_to_pool(&self.in_flight, &self.head, self.connection);
     }
 }
 
-fn keep<E: Edge>(flight: &Flight<E>, head: &ResponseHead, connection: Connection) {
+fn return_to_pool<E: Edge>(in_flight: &InFlight<E>, head: &ResponseHead, connection: Connection) {
     if !head.closes_connection {
-        let pool = &flight.node.pool;
-        pool.put(&flight.target, connection, head.idle_timeout);
+        let pool = &in_flight.node.pool;
+        pool.put(&in_flight.target, connection, head.idle_timeout);
     }
 }
--- a/crates/gateway/src/net/batches.rs
+++ b/crates/gateway/src/net/batches.rs
@@ -6,14 +6,14 @@
 /// Groups items by their estimated bytes; one that is longer than a datagram's share stands alone.
 pub(super) fn batches<T>(items: Vec<T>, bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut batches = Vec::<Vec<T>>::new();
-    let mut room = 0;
+    let mut remaining = 0;
     for item in items {
         let bytes = bytes(&item);
-        if bytes > room {
+        if bytes > remaining {
             batches.push(Vec::new());
-            room = BATCH_BYTES;
+            remaining = BATCH_BYTES;
         }
-        room = room.saturating_sub(bytes);
+        remaining = remaining.saturating_sub(bytes);
         if let Some(batch) = batches.last_mut() {
             batch.push(item);
         }
--- a/crates/gateway/src/net/control.rs
+++ b/crates/gateway/src/net/control.rs
@@ -18,9 +18,9 @@
 use crate::decide::versions::Announcement;
 use crate::edge::Edge;
 
+use super::local_response::{ResponseBody, error_response, full_body};
 use super::node::Node;
 use super::quarantine;
-use super::refuse::{AnswerBody, answer as own_answer, whole};
 
 /// Path of the copy on the control address; another form of the copy gets another path, so that instances of
 /// two releases never misread each other.
@@ -37,7 +37,7 @@
 
 /// What a peer has already, as the query of its question.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Have {
+pub(super) struct KnownState {
     pub(super) config: Revision,
     /// All news of targets up to this revision.
     pub(super) targets: Revision,
@@ -48,7 +48,7 @@
     pub(super) members: bool,
 }
 
-impl fmt::Display for Have {
+impl fmt::Display for KnownState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let members = u8::from(self.members);
         let Self {
@@ -66,7 +66,7 @@
     }
 }
 
-impl Have {
+impl KnownState {
     /// Reads the query; what it lacks is sent.
     fn parse(query: &str) -> Self {
         let mut parts = query
@@ -87,7 +87,7 @@
 /// What the store told an instance, for peers that don't follow it; parts that the peer has are left
 /// out.
 #[derive(Debug, Default, Deserialize, Serialize)]
-pub(super) struct Copy {
+pub(super) struct StateCopy {
     pub(super) config: Option<Config>,
     pub(super) targets: Option<RegistryCopy>,
     pub(super) versions: Vec<Announcement>,
@@ -96,20 +96,20 @@
 }
 
 /// Answers a peer.
-pub(super) fn answer<E: Edge>(
+pub(super) fn respond<E: Edge>(
     node: &Arc<Node<E>>,
     req: &Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     if req.uri().path() == METRICS_PATH {
         let connections = node.connections.load(Ordering::Relaxed);
         let tables = node.tables();
         let text = node.metrics.text(&tables, connections, node.now());
-        return Response::new(whole(Bytes::from(text)));
+        return Response::new(full_body(Bytes::from(text)));
     }
     if req.uri().path() == DUMP_PATH {
         let dump = node.tables().dump(node.now());
         return match serde_json::to_vec(&dump) {
-            Ok(body) => Response::new(whole(Bytes::from(body))),
+            Ok(body) => Response::new(full_body(Bytes::from(body))),
             Err(err) => failed(node, &err),
         };
     }
@@ -117,58 +117,58 @@
         return clear(node, req);
     }
     if req.uri().path() != COPY_PATH {
-        return own_answer(&node.protocol, StatusCode::NOT_FOUND, "no such call", None);
+        return error_response(&node.protocol, StatusCode::NOT_FOUND, "no such call", None);
     }
-    let have = Have::parse(req.uri().query().unwrap_or(""));
-    let copy = copy(&node.tables(), have, node.now());
+    let known = KnownState::parse(req.uri().query().unwrap_or(""));
+    let copy = build_copy(&node.tables(), known, node.now());
     match bincode::serialize(&copy) {
-        Ok(body) => Response::new(whole(Bytes::from(body))),
+        Ok(body) => Response::new(full_body(Bytes::from(body))),
         Err(err) => failed(node, &err),
     }
 }
 
 /// Lets a request through again that is refused because targets ended under it.
-fn clear<E: Edge>(node: &Arc<Node<E>>, req: &Request<Incoming>) -> Response<AnswerBody> {
-    let own = |status, message: &str| own_answer(&node.protocol, status, message, None);
+fn clear<E: Edge>(node: &Arc<Node<E>>, req: &Request<Incoming>) -> Response<ResponseBody> {
+    let reply = |status, message: &str| error_response(&node.protocol, status, message, None);
     if req.method() != Method::POST {
-        return own(StatusCode::METHOD_NOT_ALLOWED, "use POST");
+        return reply(StatusCode::METHOD_NOT_ALLOWED, "use POST");
     }
     let query = req.uri().query().unwrap_or("");
     let request = match query.parse::<Fingerprint>() {
         Ok(request) => request,
-        Err(bad) => return own(StatusCode::BAD_REQUEST, &bad.to_string()),
+        Err(err) => return reply(StatusCode::BAD_REQUEST, &err.to_string()),
     };
     if quarantine::clear(node, request) {
-        own(StatusCode::OK, "it is sent to targets again")
+        reply(StatusCode::OK, "it is sent to targets again")
     } else {
-        own(
+        reply(
             StatusCode::NOT_FOUND,
             "no request of this fingerprint is refused",
         )
     }
 }
 
-fn failed<E: Edge>(node: &Node<E>, err: &dyn fmt::Display) -> Response<AnswerBody> {
+fn failed<E: Edge>(node: &Node<E>, err: &dyn fmt::Display) -> Response<ResponseBody> {
     let status = StatusCode::INTERNAL_SERVER_ERROR;
-    own_answer(&node.protocol, status, &err.to_string(), None)
+    error_response(&node.protocol, status, &err.to_string(), None)
 }
 
-fn copy(tables: &Tables, have: Have, now: Time) -> Copy {
-    let config = tables.routes.version() > have.config;
-    let targets = tables.registry.digest() != have.targets_digest;
-    let versions = tables.versions.total() > have.versions;
-    let mut copy = Copy::default();
+fn build_copy(tables: &Tables, known: KnownState, now: Time) -> StateCopy {
+    let config = tables.routes.version() > known.config;
+    let targets = tables.registry.digest() != known.targets_digest;
+    let versions = tables.versions.total() > known.versions;
+    let mut copy = StateCopy::default();
     if config {
         copy.config = Some(tables.routes.config().as_ref().clone());
     }
     if targets {
-        let mut registry = tables.registry.copy_since(have.targets, now);
+        let mut registry = tables.registry.copy_since(known.targets, now);
         // What an engine holds changes all the time, and its loader tells it; one that starts has heard
         // nothing of it.
-        let starts = have.targets == Revision::default();
+        let is_starting = known.targets == Revision::default();
         for (_, target) in &mut registry.targets {
             target.adapters.clear();
-            if starts {
+            if is_starting {
                 target
                     .adapters
                     .extend(tables.residency.adapters_at(&target.id));
@@ -179,10 +179,10 @@
     if versions {
         copy.versions = tables.versions.all(now).collect();
     }
-    if tables.quarantine.digest() != have.verdicts_digest {
+    if tables.quarantine.digest() != known.verdicts_digest {
         copy.verdicts = tables.quarantine.decisions(now).collect();
     }
-    if !have.members {
+    if !known.members {
         let peers = tables.peers.all().map(|peer| peer.member.clone());
         copy.members = peers.chain([tables.local.clone()]).collect();
     }
--- /dev/null
+++ b/crates/gateway/src/net/crash_check.rs
@@ -0,0 +1,224 @@
+//! Finds out whether a target ended when runs on it were cut.
+//!
+//! A broken connection alone doesn't tell: it may have been reset, or its link cut. A process that has ended
+//! refuses new connections.
+
+use std::collections::HashMap;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use bluebellstage_core::{TargetId, Time};
+use tokio::sync::watch;
+
+use crate::decide::quarantine::{Crash, EVALUATION_DELAY, InterruptedRun};
+use crate::decide::rendezvous::ShortHash;
+use crate::decide::target::Target;
+use crate::edge::Edge;
+
+use super::log::{LogEvent, event};
+use super::node::Node;
+use super::quarantine;
+use super::sockets::connect;
+
+/// Time for a connection that is to show whether the target ended.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time in which the other runs that were cut with the first one are gathered.
+const GATHER_DELAY: Duration = Duration::from_millis(8);
+/// Longest wait of a cut request until this is known.
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long a look is remembered, for runs whose end is noticed late.
+const CHECK_RETENTION: Duration = Duration::from_secs(5);
+/// Fingerprints named in one log line.
+const MAX_LOGGED_FINGERPRINTS: usize = 80;
+
+/// What is known of a target on which runs were cut.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+enum CheckResult {
+    /// It is being looked at.
+    Pending,
+    /// Its process ended; the runs that it took with it are not judged yet.
+    Crashed,
+    /// They are judged.
+    Evaluated,
+    /// It lives, or can't be told from one that does.
+    Alive,
+}
+
+#[derive(Debug)]
+struct CrashCheck {
+    started: Time,
+    interrupted_runs: Vec<InterruptedRun>,
+    result: watch::Sender<CheckResult>,
+}
+
+/// Looks at targets, by their lives.
+#[derive(Debug, Default)]
+pub(super) struct CrashChecks {
+    open: Mutex<HashMap<ShortHash, CrashCheck>>,
+}
+
+impl CrashChecks {
+    fn lock(&self) -> MutexGuard<'_, HashMap<ShortHash, CrashCheck>> {
+        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Runs that were not told yet, and when the first one was cut.
+    fn take_interrupted_runs(&self, incarnation: ShortHash) -> Option<(Vec<InterruptedRun>, Time)> {
+        let mut open = self.lock();
+        let check = open.get_mut(&incarnation)?;
+        Some((std::mem::take(&mut check.interrupted_runs), check.started))
+    }
+
+    fn set_result(&self, incarnation: ShortHash, result: CheckResult) {
+        let mut open = self.lock();
+        if let Some(check) = open.get(&incarnation) {
+            check.result.send_replace(result);
+        }
+        // One that lives may end later.
+        if result == CheckResult::Alive {
+            open.remove(&incarnation);
+        }
+    }
+
+    /// Forgets what was found long ago.
+    pub(super) fn sweep(&self, now: Time) {
+        self.lock()
+            .retain(|_, check| now.since(check.started) < CHECK_RETENTION);
+    }
+}
+
+/// A target that was serving.
+#[derive(Clone, Debug)]
+struct Serving {
+    id: TargetId,
+    incarnation: ShortHash,
+    address: SocketAddr,
+    /// Targets of its service that live, this one included.
+    live_count: u32,
+}
+
+/// The target, if it was not to leave anyway: what leaves as planned cuts runs, too.
+fn serving<E: Edge>(node: &Node<E>, id: &TargetId) -> Option<Serving> {
+    let tables = node.tables();
+    let target = tables.registry.get(id).filter(|target| !target.leaving)?;
+    let is_live = |other: &&Target| !tables.quarantine.has_crashed(incarnation(other));
+    let others = tables.registry.all().filter(|other| other.id != *id);
+    let others = others.filter(|other| other.service == target.service);
+    let live_count = 1 + others.filter(is_live).count();
+    Some(Serving {
+        id: id.clone(),
+        incarnation: incarnation(target),
+        address: target.address,
+        live_count: u32::try_from(live_count).unwrap_or(u32::MAX),
+    })
+}
+
+/// Names this life of a target; one that doesn't say when it started has one.
+fn incarnation(target: &Target) -> ShortHash {
+    let incarnation = target.incarnation();
+    incarnation.unwrap_or_else(|| ShortHash::of(target.id.as_str()))
+}
+
+/// A run was cut; returns when it is known, or can't soon be known, whether its target ended.
+pub(super) async fn record_interruption<E: Edge>(
+    node: &Arc<Node<E>>,
+    target: &TargetId,
+    record_interruption: InterruptedRun,
+) {
+    let Some(target) = serving(node, target) else {
+        return;
+    };
+    let mut result = join(node, &target, record_interruption);
+    if *result.borrow() == CheckResult::Evaluated {
+        report(node, &target);
+    }
+    // A first end is no proof, so whoever has met no other need not wait for the judgement.
+    let waits = |result: &CheckResult| match result {
+        CheckResult::Pending => true,
+        CheckResult::Crashed => {
+            node.tables()
+                .quarantine
+                .crash_count(record_interruption.request)
+                > 1
+        }
+        CheckResult::Evaluated | CheckResult::Alive => false,
+    };
+    let known = result.wait_for(|result| !waits(result));
+    let _known_or_late = tokio::time::timeout(CRASH_CHECK_TIMEOUT, known).await;
+}
+
+/// Adds a run to those of a target's look, which begins with the first one.
+fn join<E: Edge>(
+    node: &Arc<Node<E>>,
+    target: &Serving,
+    record_interruption: InterruptedRun,
+) -> watch::Receiver<CheckResult> {
+    let mut open = node.crash_checks.lock();
+    let started = node.now();
+    let entry = open.entry(target.incarnation).or_insert_with(|| {
+        tokio::spawn(check(Arc::clone(node), target.clone()));
+        CrashCheck {
+            started,
+            interrupted_runs: Vec::new(),
+            result: watch::Sender::new(CheckResult::Pending),
+        }
+    });
+    entry.interrupted_runs.push(record_interruption);
+    entry.result.subscribe()
+}
+
+async fn check<E: Edge>(node: Arc<Node<E>>, target: Serving) {
+    if !has_crashed(target.address).await {
+        node.crash_checks
+            .set_result(target.incarnation, CheckResult::Alive);
+        return;
+    }
+    node.metrics.target_crashed();
+    tokio::time::sleep(GATHER_DELAY).await;
+    let mut interrupted_runs = report(&node, &target);
+    node.crash_checks
+        .set_result(target.incarnation, CheckResult::Crashed);
+    tokio::time::sleep(EVALUATION_DELAY).await;
+    interrupted_runs.extend(report(&node, &target));
+    let requests = interrupted_runs
+        .iter()
+        .map(|record_interruption| record_interruption.request)
+        .collect::<Vec<_>>();
+    quarantine::evaluate(&node, &target.id, &requests);
+    node.crash_checks
+        .set_result(target.incarnation, CheckResult::Evaluated);
+}
+
+async fn has_crashed(address: SocketAddr) -> bool {
+    let connected = connect(address, PROBE_TIMEOUT).await;
+    connected.is_err_and(|err| err.kind() == ErrorKind::ConnectionRefused)
+}
+
+/// Tells which runs the target took with it, those told before left out.
+fn report<E: Edge>(node: &Node<E>, target: &Serving) -> Vec<InterruptedRun> {
+    let taken = node.crash_checks.take_interrupted_runs(target.incarnation);
+    let Some((interrupted_runs, at)) =
+        taken.filter(|(interrupted_runs, _)| !interrupted_runs.is_empty())
+    else {
+        return Vec::new();
+    };
+    let named = interrupted_runs.iter().take(MAX_LOGGED_FINGERPRINTS);
+    let named = named.map(|record_interruption| {
+        format!(
+            "{}:{}",
+            record_interruption.request, record_interruption.run_ms
+        )
+    });
+    let requests = named.collect::<Vec<_>>().join(" ");
+    let [id, count] = [target.id.to_string(), interrupted_runs.len().to_string()];
+    event(
+        LogEvent::TargetEnded,
+        &[("target", &id), ("cut", &count), ("requests", &requests)],
+    );
+    let age = node.now().since(at);
+    let crash = Crash::new(target.incarnation, target.live_count, age, interrupted_runs);
+    quarantine::record_crash(node, &crash);
+    crash.interrupted
+}
--- a/crates/gateway/src/net/directory.rs
+++ b/crates/gateway/src/net/directory.rs
@@ -9,14 +9,14 @@
 use crate::decide::tables::Tables;
 use crate::edge::{Edge, Protocol};
 
+use super::local_response::{ResponseBody, error_response, full_body, spread_retry_after};
 use super::node::Node;
-use super::refuse::{AnswerBody, answer as own_answer, spread_retry_after, whole};
 
 /// Most addresses in an answer; callers take no more.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// Answers a question of a caller or the platform.
-pub(super) fn answer<E: Edge>(node: &Node<E>, req: &Request<Incoming>) -> Response<AnswerBody> {
+pub(super) fn respond<E: Edge>(node: &Node<E>, req: &Request<Incoming>) -> Response<ResponseBody> {
     let (parts, ()) = {
         let mut head = Request::new(());
         *head.method_mut() = req.method().clone();
@@ -30,19 +30,19 @@
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        return own_answer(&node.protocol, status, "readiness", None);
+        return error_response(&node.protocol, status, "readiness", None);
     }
-    let Some(domain) = node.protocol.is_resolve(&parts) else {
-        return own_answer(&node.protocol, StatusCode::NOT_FOUND, "no such call", None);
+    let Some(failure_domain) = node.protocol.is_resolve(&parts) else {
+        return error_response(&node.protocol, StatusCode::NOT_FOUND, "no such call", None);
     };
-    let addresses = addresses(&node.tables(), domain.as_deref(), node.now());
+    let addresses = addresses(&node.tables(), failure_domain.as_deref(), node.now());
     if addresses.is_empty() {
         let after = Some(spread_retry_after());
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        return own_answer(&node.protocol, status, "no instance is ready", after);
+        return error_response(&node.protocol, status, "no instance is ready", after);
     }
-    let keep = node.terms().keep_addresses;
-    let mut res = Response::new(whole(node.protocol.resolved(&addresses, keep)));
+    let ttl = node.terms().address_ttl;
+    let mut res = Response::new(full_body(node.protocol.resolve_body(&addresses, ttl)));
     let json = HeaderValue::from_static("application/json");
     res.headers_mut().insert(header::CONTENT_TYPE, json);
     res
@@ -51,24 +51,24 @@
 /// Addresses of the ready instances in the caller's failure domain; of all if there are none.
 ///
 /// A caller that connects within its failure domain pays no bytes between them.
-fn addresses(tables: &Tables, domain: Option<&str>, now: Time) -> Vec<SocketAddr> {
-    let own = tables.ready().then_some(&tables.local);
+fn addresses(tables: &Tables, failure_domain: Option<&str>, now: Time) -> Vec<SocketAddr> {
+    let local = tables.ready().then_some(&tables.local);
     let peers = tables.peers.live(now).filter(|peer| peer.ready);
-    let all = own
+    let all = local
         .into_iter()
         .chain(peers.map(|peer| &peer.member))
         .collect::<Vec<_>>();
-    let near = all
+    let nearby = all
         .iter()
-        .filter(|member| Some(member.failure_domain.as_str()) == domain)
+        .filter(|member| Some(member.failure_domain.as_str()) == failure_domain)
         .map(|member| member.front);
-    let mut near = near.take(MOST_ADDRESSES).collect::<Vec<_>>();
-    if near.is_empty() {
-        near = all
+    let mut nearby = nearby.take(MAX_ADDRESSES).collect::<Vec<_>>();
+    if nearby.is_empty() {
+        nearby = all
             .iter()
             .map(|member| member.front)
-            .take(MOST_ADDRESSES)
+            .take(MAX_ADDRESSES)
             .collect();
     }
-    near
+    nearby
 }
--- a/crates/gateway/src/net/follow.rs
+++ b/crates/gateway/src/net/follow.rs
@@ -18,144 +18,146 @@
 use super::sync::apply;
 
 /// Pause between looks whether this instance is to follow the store.
-const ROLE_LOOK: Duration = Duration::from_millis(150);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 /// Factor of pauses after a failure, so that instances that were turned away together don't ask
 /// together again.
-const SPREAD: Range<f64> = 0.5..1.5;
+const BACKOFF_JITTER: Range<f64> = 0.5..1.5;
 
 /// Follows one kind of objects until the process ends, whenever this instance is to.
 pub(super) async fn run<E: Edge>(node: Arc<Node<E>>, kind: Kind) {
     // Of two that start at once, the one that lists last finds the other one's registration, and makes
     // itself known to it.
     match kind {
-        Kind::Members => node.registered().await,
-        _ => node.met().await,
+        Kind::Members => node.wait_for_registration().await,
+        _ => node.wait_for_peer_list().await,
     }
     let mut follower = Follower::new(kind, None);
-    let mut lost = false;
-    let mut told = None;
+    let mut is_store_lost = false;
+    let mut last_logged = None;
     loop {
         // Who the others are is listed once by each.
         if kind != Kind::Members || follower.after().is_some() {
-            let follows = is_followed(&node, kind);
-            if told.replace(follows) != Some(follows) {
-                let fields = [("kind", kind.name()), ("follows", word(follows))];
+            let is_following = is_followed(&node, kind);
+            if last_logged.replace(is_following) != Some(is_following) {
+                let fields = [("kind", kind.name()), ("follows", bool_name(is_following))];
                 event(LogEvent::FollowChanged, &fields);
             }
-            if !follows {
-                tokio::time::sleep(ROLE_LOOK).await;
+            if !is_following {
+                tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
                 continue;
             }
             if kind == Kind::Targets && follower.after().is_none() {
                 follower.record_copy(node.tables().registry.revision());
             }
         }
-        let begun = Instant::now();
-        let pause = match call(&node, kind, follower.next_request()).await {
+        let started = Instant::now();
+        let delay = match call(&node, kind, follower.next_request()).await {
             Ok(listing) => {
-                if std::mem::take(&mut lost) {
+                if std::mem::take(&mut is_store_lost) {
                     event(LogEvent::StoreBack, &[("kind", kind.name())]);
                 }
-                take(&node, &mut follower, listing)
+                apply_listing(&node, &mut follower, listing)
             }
             Err(StoreError::HistoryGone) => {
                 follower.record_history_gone();
                 Duration::ZERO
             }
             Err(err) => {
-                if !std::mem::replace(&mut lost, true) {
+                if !std::mem::replace(&mut is_store_lost, true) {
                     let cause = err.to_string();
                     let fields = [("kind", kind.name()), ("cause", &cause)];
                     event(LogEvent::StoreLost, &fields);
                 }
-                miss(&node, &mut follower, begun.elapsed())
+                record_failure(&node, &mut follower, started.elapsed())
             }
         };
         if kind == Kind::Members {
-            node.meet();
+            node.mark_peers_listed();
         }
-        if !pause.is_zero() {
-            tokio::time::sleep(pause).await;
+        if !delay.is_zero() {
+            tokio::time::sleep(delay).await;
         }
     }
 }
 
 /// Takes in what the store told; gives the pause until the next call.
-fn take<E: Edge>(node: &Node<E>, follower: &mut Follower, listing: Listing) -> Duration {
+fn apply_listing<E: Edge>(node: &Node<E>, follower: &mut Follower, listing: Listing) -> Duration {
     let kind = follower.kind();
     if kind == Kind::Targets {
         let now = node.now();
         node.tables().registry.record_store_response(now);
     }
-    let whole = follower.after().is_none();
-    let pause = follower.record_response(listing.revision, !listing.objects.is_empty());
-    apply(node, kind, listing, whole);
-    pause
+    let is_full_list = follower.after().is_none();
+    let delay = follower.record_response(listing.revision, !listing.objects.is_empty());
+    apply(node, kind, listing, is_full_list);
+    delay
 }
 
 /// Notes a call that failed after so long; gives the pause until the next one.
-fn miss<E: Edge>(node: &Node<E>, follower: &mut Follower, took: Duration) -> Duration {
+fn record_failure<E: Edge>(node: &Node<E>, follower: &mut Follower, took: Duration) -> Duration {
     if follower.kind() == Kind::Targets {
         let now = node.now();
         node.tables().registry.record_store_failure(now);
     }
-    follower.record_failure(took, rand::rng().random_range(SPREAD))
+    follower.record_failure(took, rand::rng().random_range(BACKOFF_JITTER))
 }
 
 /// Whether this instance follows the store now; the list of targets keeps since when.
 fn is_followed<E: Edge>(node: &Node<E>, kind: Kind) -> bool {
     let now = node.now();
     let mut tables = node.tables();
-    let follows = tables.follows_store(now);
+    let is_following = tables.follows_store(now);
     if kind == Kind::Targets {
-        tables.registry.set_following(follows, now);
+        tables.registry.set_following(is_following, now);
     }
-    follows
+    is_following
 }
 
 async fn call<E: Edge>(
     node: &Node<E>,
     kind: Kind,
-    ask: StoreRequest,
+    request: StoreRequest,
 ) -> Result<Listing, StoreError> {
-    let asked = node.now();
-    node.tables().store_calls.record_start(kind, asked);
-    let news = match ask {
+    let started = node.now();
+    node.tables().store_calls.record_start(kind, started);
+    let listing = match request {
         StoreRequest::List => node.store.list(kind).await,
         StoreRequest::Watch { after, wait } => node.store.watch(kind, after, wait).await,
     };
-    tell_ended(node, kind, ask, &news, asked);
-    news
+    record_call_end(node, kind, request, &listing, started);
+    listing
 }
 
-const fn word(yes: bool) -> &'static str {
+const fn bool_name(yes: bool) -> &'static str {
     if yes { "true" } else { "false" }
 }
 
 /// Tells that a call has ended: how long it was open and with what outcome.
-fn tell_ended<E: Edge>(
+fn record_call_end<E: Edge>(
     node: &Node<E>,
     kind: Kind,
-    ask: StoreRequest,
-    news: &Result<Listing, StoreError>,
-    asked: Time,
+    request: StoreRequest,
+    listing: &Result<Listing, StoreError>,
+    started: Time,
 ) {
     let now = node.now();
-    let outcome = match news {
+    let outcome = match listing {
         Ok(_) => "answered",
         Err(StoreError::HistoryGone) => "history_gone",
         Err(_) => "failed",
     };
-    node.metrics.store_called(kind, outcome);
-    let answered = matches!(news, Ok(_) | Err(StoreError::HistoryGone));
-    node.tables().store_calls.record_end(kind, answered, now);
-    let (call, after) = match ask {
+    node.metrics.store_call_ended(kind, outcome);
+    let has_responded = matches!(listing, Ok(_) | Err(StoreError::HistoryGone));
+    node.tables()
+        .store_calls
+        .record_end(kind, has_responded, now);
+    let (call, after) = match request {
         StoreRequest::List => ("list", Revision::default()),
         StoreRequest::Watch { after, .. } => ("watch", after),
     };
     let after = after.to_string();
-    let waited = now.since(asked).as_millis().to_string();
-    let objects = news.as_ref().map_or(0, |listing| listing.objects.len());
+    let elapsed = now.since(started).as_millis().to_string();
+    let objects = listing.as_ref().map_or(0, |listing| listing.objects.len());
     let objects = objects.to_string();
     event(
         LogEvent::StoreCallEnded,
@@ -163,7 +165,7 @@
             ("kind", kind.name()),
             ("call", call),
             ("after", &after),
-            ("waited_ms", &waited),
+            ("waited_ms", &elapsed),
             ("outcome", outcome),
             ("objects", &objects),
         ],
--- a/crates/gateway/src/net/front.rs
+++ b/crates/gateway/src/net/front.rs
@@ -17,31 +17,31 @@
 use crate::decide::quarantine::{Fingerprint, InterruptedRun};
 use crate::decide::tables::{Refusal, Tables, Ticket};
 use crate::edge::{Edge, Protocol};
-use crate::packet::{Wish, WishKind};
+use crate::packet::{AdapterRequest, AdapterRequestKind};
 
-use super::attempt::{Answer, Attempt, CutShort, Failure, Sending, send};
-use super::ended::cut;
+use super::attempt::{Attempt, FailedRun, Failure, SendParams, TargetResponse, send};
+use super::crash_check::record_interruption;
+use super::local_response::{ResponseBody, error_response, full_body, refusal_response};
 use super::log::{LogEvent, event};
 use super::node::Node;
 use super::quarantine;
-use super::refuse::{AnswerBody, answer, refusal, whole};
 use super::stream;
 
 /// Time kept back for our own answer to reach the caller before it gives up.
-const ANSWER_MARGIN: Duration = Duration::from_millis(20);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
 /// Least time left that makes an attempt worth sending.
-const LEAST_ATTEMPT: Duration = Duration::from_millis(15);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(15);
 /// Why a request is refused that would stand in too long a queue.
 pub(super) const TOO_LATE: &str = "engines would begin it too late: try again";
 /// Pause between looks for a free place at plain targets.
-const FULL_PAUSE: Duration = Duration::from_millis(15);
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(15);
 /// Wait for the first sign of a plain target, in multiples of the route's target latency, before a
 /// repeatable request goes elsewhere.
-const PLAIN_PATIENCE: u32 = 3;
+const PLAIN_WAIT_FACTOR: u32 = 3;
 /// The same for the first event of a stream.
-const STREAM_PATIENCE: u32 = 3;
+const STREAM_WAIT_FACTOR: u32 = 3;
 /// Least of these waits.
-const LEAST_PATIENCE: Duration = Duration::from_millis(250);
+const MIN_RESPONSE_WAIT: Duration = Duration::from_millis(250);
 
 /// A request with all that its attempts need.
 #[derive(Debug)]
@@ -67,58 +67,58 @@
 }
 
 /// How the search for an answer ended.
-pub(super) enum Found<E: Edge> {
+pub(super) enum SearchOutcome<E: Edge> {
     /// A target answers.
-    Answer(Box<Answer<E>>),
+    Response(Box<TargetResponse<E>>),
     /// The request has not run and won't.
     NotRun(&'static str),
     /// The same: every engine that could run it would begin too late, by so much.
-    Late(Duration),
+    QueueTooLong(Duration),
     /// It may have run.
     MayHaveRun(&'static str),
     /// Targets end under it: it is not sent any more.
     Quarantined,
     /// The time is up; it may have run.
-    TimeUp,
+    TimedOut,
 }
 
 /// Serves one request.
 pub(super) async fn serve<E: Edge>(
     node: Arc<Node<E>>,
     req: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let arrived = node.now();
     let (head, body) = req.into_parts();
     let call = match node.protocol.call(&head) {
         Ok(call) => call,
         Err(bad) => {
             let status = StatusCode::BAD_REQUEST;
-            return answer(&node.protocol, status, &bad.to_string(), None);
+            return error_response(&node.protocol, status, &bad.to_string(), None);
         }
     };
     let draw = rand::rng().random();
-    let admitted = if node.closing() {
+    let admitted = if node.is_closing() {
         Err(Refusal::Stopping)
     } else {
         node.tables().admit(&call, draw, arrived)
     };
     let ticket = match admitted {
         Ok(ticket) => ticket,
-        Err(refused) => {
-            node.metrics.refused(refused.name());
-            let inputs = refused.inputs();
+        Err(refusal) => {
+            node.metrics.request_refused(refusal.name());
+            let inputs = refusal.inputs();
             let inputs = inputs.iter().map(|(name, value)| (*name, value.as_str()));
-            let fields = [("request", &*call.id), ("reason", refused.name())];
+            let fields = [("request", &*call.id), ("reason", refusal.name())];
             let fields = fields.into_iter().chain(inputs).collect::<Vec<_>>();
             event(LogEvent::RequestRefused, &fields);
-            return refusal(&node.protocol, &refused);
+            return refusal_response(&node.protocol, &refusal);
         }
     };
     let body = match read_body(&node, body).await {
         Ok(body) => body,
         Err(status) => {
             node.tables().refund(&ticket);
-            return answer(&node.protocol, status, "the body is too long or cut", None);
+            return error_response(&node.protocol, status, "the body is too long or cut", None);
         }
     };
     if !ticket.quota_wait.is_zero() {
@@ -153,40 +153,41 @@
 }
 
 impl<E: Edge> Job<E> {
-    async fn run(mut self) -> Response<AnswerBody> {
+    async fn run(mut self) -> Response<ResponseBody> {
         let kind = self.ticket.route().kind;
-        let mut spare = None;
+        let mut fallback = None;
         loop {
-            let found = self.find().await;
-            let answered = match found {
-                Found::Answer(answered) => answered,
+            let found = self.find_response().await;
+            let response = match found {
+                SearchOutcome::Response(response) => response,
                 other => {
-                    return match spare.take() {
-                        Some((parts, body)) => self.pass(&parts, whole(body)),
-                        None => self.own_answer(&other),
+                    return match fallback.take() {
+                        Some((parts, body)) => self.forward_response(&parts, full_body(body)),
+                        None => self.local_response(&other),
                     };
                 }
             };
-            if kind.streams() && answered.parts.status.is_success() {
-                return stream::relay(self, *answered);
+            if kind.streams() && response.parts.status.is_success() {
+                return stream::forward(self, *response);
             }
-            let target = answered.flight.target.clone();
-            match answered.collect(self.left()).await {
+            let target = response.in_flight.target.clone();
+            match response.collect(self.time_left()).await {
                 Ok((parts, body)) => {
-                    self.note_served();
-                    let again = parts.status.is_server_error() && self.may_repeat();
-                    if !again {
-                        return self.pass(&parts, whole(body));
+                    self.record_served();
+                    let should_retry = parts.status.is_server_error() && self.may_retry();
+                    if !should_retry {
+                        return self.forward_response(&parts, full_body(body));
                     }
-                    spare = Some((parts, body));
+                    fallback = Some((parts, body));
                     self.tried.push(target);
                 }
-                Err(short) => {
-                    self.log_attempt(&target, &format!("{:?} in body", short.failure));
-                    self.note_cut(&target, short).await;
-                    if !self.may_repeat() {
-                        return self
-                            .own_answer(&Found::MayHaveRun("the target's answer broke off"));
+                Err(failed_run) => {
+                    self.log_failed_attempt(&target, &format!("{:?} in body", failed_run.failure));
+                    self.check_for_crash(&target, failed_run).await;
+                    if !self.may_retry() {
+                        return self.local_response(&SearchOutcome::MayHaveRun(
+                            "the target's answer broke off",
+                        ));
                     }
                     self.tried.push(target);
                 }
@@ -195,32 +196,34 @@
     }
 
     /// The attempt that ran may be followed by another one.
-    pub(super) fn may_repeat(&self) -> bool {
+    pub(super) fn may_retry(&self) -> bool {
         let route = self.ticket.route();
-        route.kind.repeatable() && self.runs < route.max_attempts && self.left() > LEAST_ATTEMPT
+        route.kind.repeatable()
+            && self.runs < route.max_attempts
+            && self.time_left() > MIN_ATTEMPT_TIME
     }
 
     /// Time left for the caller.
-    pub(super) fn left(&self) -> Duration {
+    pub(super) fn time_left(&self) -> Duration {
         let route = self.ticket.route().timeout;
         let limit = self.call.timeout.map_or(route, |own| own.min(route));
         let passed = self.node.now().since(self.arrived);
-        limit.saturating_sub(passed + ANSWER_MARGIN)
+        limit.saturating_sub(passed + RESPONSE_MARGIN)
     }
 
     /// Finds a target that answers.
-    pub(super) async fn find(&mut self) -> Found<E> {
+    pub(super) async fn find_response(&mut self) -> SearchOutcome<E> {
         let route_latency = self.ticket.route().target_latency;
-        let began = self.node.now();
+        let started = self.node.now();
         let full_until = self.node.now() + route_latency / 2;
         loop {
-            if self.left() < LEAST_ATTEMPT {
+            if self.time_left() < MIN_ATTEMPT_TIME {
                 return self.out_of_time();
             }
             let now = self.node.now();
             let draw = rand::rng().random_range(0.0..1.0);
             if self.node.tables().quarantine.is_refused(self.fingerprint) {
-                return Found::Quarantined;
+                return SearchOutcome::Quarantined;
             }
             match self.pick(draw, now) {
                 Pick::Send {
@@ -229,17 +232,19 @@
                     trial,
                     load_at,
                 } => {
-                    self.wish_all(load_at);
+                    self.request_loads(load_at);
                     if let Some(found) = self.try_target(target, version, trial).await {
                         return found;
                     }
                 }
                 Pick::Load(target) => {
-                    match self.load_wait(began, now) {
-                        LoadWaitAction::RequestLoad => self.wish(target, self.load_wish()),
+                    match self.load_wait(started, now) {
+                        LoadWaitAction::RequestLoad => {
+                            self.send_adapter_request(target, self.load_request())
+                        }
                         LoadWaitAction::Wait => {}
                         LoadWaitAction::Refuse => {
-                            self.log_attempt(&target, "adapter not loaded in time");
+                            self.log_failed_attempt(&target, "adapter not loaded in time");
                             return self.unserved("its adapter could not be loaded in time");
                         }
                     }
@@ -249,10 +254,10 @@
                     self.load_waited += self.node.now().since(now);
                 }
                 Pick::Late { excess, load_at } => {
-                    self.wish_all(load_at);
+                    self.request_loads(load_at);
                     return self.late(excess);
                 }
-                Pick::Full if now < full_until => tokio::time::sleep(FULL_PAUSE).await,
+                Pick::Full if now < full_until => tokio::time::sleep(FULL_RETRY_DELAY).await,
                 Pick::Full => return self.unserved("all targets are full"),
                 Pick::NoTarget => return self.unserved("no target can run it"),
             }
@@ -265,72 +270,75 @@
         tables.pick_apart(request, &self.ticket, &self.call, &self.tried, draw, now)
     }
 
-    fn load_wait(&self, began: Time, now: Time) -> LoadWaitAction {
+    fn load_wait(&self, started: Time, now: Time) -> LoadWaitAction {
         let route = self.ticket.route();
-        let crowded = self.node.tables().is_loading_congested(&self.ticket, now);
+        let is_congested = self.node.tables().is_loading_congested(&self.ticket, now);
         load_wait(
-            now.since(began),
+            now.since(started),
             self.call.timeout.unwrap_or(route.timeout),
             route.target_latency,
-            crowded,
+            is_congested,
         )
     }
 
-    fn late(&self, excess: Duration) -> Found<E> {
+    fn late(&self, excess: Duration) -> SearchOutcome<E> {
         if self.runs == 0 {
-            Found::Late(excess)
+            SearchOutcome::QueueTooLong(excess)
         } else {
-            Found::MayHaveRun(TOO_LATE)
+            SearchOutcome::MayHaveRun(TOO_LATE)
         }
     }
 
-    fn unserved(&self, why: &'static str) -> Found<E> {
+    fn unserved(&self, why: &'static str) -> SearchOutcome<E> {
         if self.runs == 0 {
-            Found::NotRun(why)
+            SearchOutcome::NotRun(why)
         } else {
-            Found::MayHaveRun(why)
+            SearchOutcome::MayHaveRun(why)
         }
     }
 
-    fn out_of_time(&self) -> Found<E> {
+    fn out_of_time(&self) -> SearchOutcome<E> {
         if self.runs == 0 {
-            Found::NotRun("no target took it in time")
+            SearchOutcome::NotRun("no target took it in time")
         } else {
-            Found::TimeUp
+            SearchOutcome::TimedOut
         }
     }
 
-    fn load_wish(&self) -> WishKind {
+    fn load_request(&self) -> AdapterRequestKind {
         let key = Tables::adapter_of(&self.call);
         let newest = key.and_then(|key| self.node.tables().versions.newest(key));
-        WishKind::Load(newest)
+        AdapterRequestKind::Load(newest)
     }
 
-    fn wish_all(&self, places: Vec<TargetId>) {
-        for place in places {
-            self.wish(place, self.load_wish());
+    fn request_loads(&self, targets: Vec<TargetId>) {
+        for target in targets {
+            self.send_adapter_request(target, self.load_request());
         }
     }
 
-    fn wish(&self, target: TargetId, kind: WishKind) {
+    fn send_adapter_request(&self, target: TargetId, kind: AdapterRequestKind) {
         if let Some(key) = Tables::adapter_of(&self.call) {
             let key = key.clone();
-            self.node.wish(Wish { target, key, kind });
+            self.node
+                .queue_adapter_request(AdapterRequest { target, key, kind });
         }
     }
 
-    fn patience(&self) -> Duration {
+    fn max_wait(&self) -> Duration {
         let route = self.ticket.route();
-        let left = self.left();
+        let time_left = self.time_left();
         if !route.kind.repeatable() || self.runs + 1 >= route.max_attempts {
-            return left;
+            return time_left;
         }
         let times = if route.kind.streams() {
-            STREAM_PATIENCE
+            STREAM_WAIT_FACTOR
         } else {
-            PLAIN_PATIENCE
+            PLAIN_WAIT_FACTOR
         };
-        (route.target_latency * times).max(LEAST_PATIENCE).min(left)
+        (route.target_latency * times)
+            .max(MIN_RESPONSE_WAIT)
+            .min(time_left)
     }
 
     async fn try_target(
@@ -338,7 +346,7 @@
         target: TargetId,
         version: Option<AdapterVersion>,
         trial: bool,
-    ) -> Option<Found<E>> {
+    ) -> Option<SearchOutcome<E>> {
         let service = &self.ticket.service;
         let now = self.node.now();
         if self.sends > 0 && !self.node.tables().take_retry(service, now) {
@@ -346,14 +354,14 @@
         }
         let kind = self.ticket.route().kind;
         let forward = Forward {
-            time_left: self.left(),
+            time_left: self.time_left(),
             target: target.as_str(),
             workspace: self.ticket.workspace.as_ref(),
             adapter_version: version.map(|version| version.0),
             priority: self.call.wanted.is_some().then(|| self.ticket.rank.min(9)),
             resume_after: self.call.resume_after,
         };
-        let sending = Sending {
+        let params = SendParams {
             head: &self.head,
             body: &self.body,
             call: &self.call,
@@ -361,25 +369,25 @@
             trial,
             suspect: self.node.tables().quarantine.crash_count(self.fingerprint) > 0,
             version,
-            patience: self.patience(),
+            max_wait: self.max_wait(),
         };
         self.sends += 1;
         self.last_send = Some((target.clone(), now));
-        let attempt = send(&self.node, &target, sending, &forward).await;
+        let attempt = send(&self.node, &target, params, &forward).await;
         match attempt {
-            Attempt::Answer(answered) => {
+            Attempt::Response(response) => {
                 self.runs += 1;
                 if let Some(key) = Tables::adapter_of(&self.call) {
                     self.node.tables().residency.record_success(&target, key);
                     self.node.changed.notify_waiters();
                 }
-                Some(Found::Answer(answered))
+                Some(SearchOutcome::Response(response))
             }
             Attempt::NotRun { misdirected } => {
                 self.log_not_run(&target, misdirected);
                 if misdirected && Tables::adapter_of(&self.call).is_some() {
                     // The adapter is late or was evicted: the engine itself may serve it yet.
-                    self.not_held(&target);
+                    self.record_missing_adapter(&target);
                 } else {
                     self.tried.push(target);
                 }
@@ -387,16 +395,16 @@
             }
             Attempt::Unreachable => {
                 self.sends -= 1;
-                self.log_attempt(&target, "no connection");
+                self.log_failed_attempt(&target, "no connection");
                 self.tried.push(target);
                 None
             }
-            Attempt::Failed(short) => {
+            Attempt::Failed(failed_run) => {
                 self.runs += 1;
-                self.log_attempt(&target, &format!("{:?}", short.failure));
-                self.note_cut(&target, short).await;
-                if !self.may_repeat() {
-                    return Some(Found::MayHaveRun("the target gave no whole answer"));
+                self.log_failed_attempt(&target, &format!("{:?}", failed_run.failure));
+                self.check_for_crash(&target, failed_run).await;
+                if !self.may_retry() {
+                    return Some(SearchOutcome::MayHaveRun("the target gave no whole answer"));
                 }
                 self.tried.push(target);
                 None
@@ -405,20 +413,20 @@
     }
 
     /// A run broke off: its target may have ended.
-    pub(super) async fn note_cut(&self, target: &TargetId, short: CutShort) {
-        if short.failure != Failure::Broken {
+    pub(super) async fn check_for_crash(&self, target: &TargetId, failed_run: FailedRun) {
+        if failed_run.failure != Failure::Broken {
             return;
         }
-        let run = InterruptedRun::new(self.fingerprint, short.ran);
-        cut(&self.node, target, run).await;
+        let run = InterruptedRun::new(self.fingerprint, failed_run.run_time);
+        record_interruption(&self.node, target, run).await;
     }
 
     /// A target answered it whole.
-    pub(super) fn note_served(&self) {
-        quarantine::served(&self.node, self.fingerprint);
+    pub(super) fn record_served(&self) {
+        quarantine::record_served(&self.node, self.fingerprint);
     }
 
-    fn not_held(&self, target: &TargetId) {
+    fn record_missing_adapter(&self, target: &TargetId) {
         if let Some(key) = Tables::adapter_of(&self.call) {
             let now = self.node.now();
             self.node
@@ -426,6 +434,6 @@
                 .residency
                 .record_missing(target, key, now);
         }
-        self.wish(target.clone(), WishKind::Missing);
+        self.send_adapter_request(target.clone(), AdapterRequestKind::Missing);
     }
 }
--- a/crates/gateway/src/net/gossip.rs
+++ b/crates/gateway/src/net/gossip.rs
@@ -13,19 +13,19 @@
 use crate::decide::status::Role;
 use crate::decide::tables::shard_of;
 use crate::edge::Edge;
-use crate::packet::{Holdings, MAX_DATAGRAM_BYTES, Packet, PacketError, Wish};
+use crate::packet::{AdapterRequest, MAX_DATAGRAM_BYTES, Packet, PacketError, ResidencyUpdate};
 
 use super::log::{LogEvent, event};
-use super::node::{Node, Outgoing, Receiver};
+use super::node::{Destination, Node, Outgoing};
 use super::quarantine;
-use super::words;
+use super::residency_updates;
 
 /// Rounds after the start in which an instance introduces itself to all: whoever missed it asks.
-const INTRODUCTIONS: u32 = 4;
+const ANNOUNCEMENTS: u32 = 4;
 /// Rounds between these.
-const INTRODUCE_EVERY: u32 = 4;
+const ANNOUNCE_INTERVAL_ROUNDS: u32 = 4;
 /// Pause between sends of wishes; a request that misses its adapter waits for it.
-const WISH_ROUND: Duration = Duration::from_millis(4);
+const ADAPTER_REQUEST_INTERVAL: Duration = Duration::from_millis(4);
 
 /// Sends and receives datagrams until the process ends.
 pub(super) async fn run<E: Edge>(
@@ -38,33 +38,33 @@
         receive(&node, &socket),
         rounds(&node, &socket),
         send_queued(&node, &socket, packets),
-        send_wishes(&node),
-        words::run(&node),
+        send_adapter_requests(&node),
+        residency_updates::run(&node),
     );
 }
 
 async fn rounds<E: Edge>(node: &Node<E>, socket: &UdpSocket) {
-    let mut introductions = 0;
+    let mut announcements = 0;
     for round in 0_u64.. {
-        if introductions < INTRODUCTIONS && round % u64::from(INTRODUCE_EVERY) == 0 {
-            introductions += 1;
+        if announcements < ANNOUNCEMENTS && round % u64::from(ANNOUNCE_INTERVAL_ROUNDS) == 0 {
+            announcements += 1;
             let member = Box::new(node.settings.member.clone());
             let packet = Packet::Exchange(Message::MemberInfo(member));
-            node.send(Receiver::All, packet);
+            node.send(Destination::All, packet);
         }
         let role = node.tables().exchange.role();
         let outgoing = node.tables().exchange_round(node.now());
-        note_role(node, role);
+        log_role_change(node, role);
         for OutgoingMessage { to, message } in outgoing {
             send_all(node, socket, &Packet::Exchange(message), &to).await;
         }
-        quarantine::tell_again(node, ROUND_INTERVAL);
+        quarantine::resend(node, ROUND_INTERVAL);
         tokio::time::sleep(ROUND_INTERVAL).await;
     }
 }
 
 /// Says when this instance begins or ends to relay.
-fn note_role<E: Edge>(node: &Node<E>, before: Role) {
+fn log_role_change<E: Edge>(node: &Node<E>, before: Role) {
     let tables = node.tables();
     let role = tables.exchange.role();
     if role == before {
@@ -78,7 +78,7 @@
 }
 
 /// Tells all peers that this instance ends.
-pub(super) async fn tell_end<E: Edge>(node: &Node<E>, socket: &UdpSocket) {
+pub(super) async fn send_shutdown<E: Edge>(node: &Node<E>, socket: &UdpSocket) {
     let OutgoingMessage { to, message } = node.tables().shutdown_message(node.now());
     send_all(node, socket, &Packet::Exchange(message), &to).await;
 }
@@ -94,7 +94,7 @@
             return;
         }
     };
-    node.metrics.told(packet.name(), to.len(), buf.len());
+    node.metrics.record_sent(packet.name(), to.len(), buf.len());
     for address in to {
         // A datagram that can't be sent is like one that is lost on its way: the next round repeats it.
         let _lost = socket.send_to(&buf, address).await;
@@ -110,36 +110,36 @@
         let addresses = {
             let tables = node.tables();
             match &to {
-                Receiver::Peer(name) => {
+                Destination::Peer(name) => {
                     let peer = tables.peers.get(name);
                     peer.map(|peer| peer.member.gossip).into_iter().collect()
                 }
-                Receiver::Address(address) => vec![*address],
-                Receiver::All => {
+                Destination::Address(address) => vec![*address],
+                Destination::All => {
                     let peers = tables.peers.all();
                     peers.map(|peer| peer.member.gossip).collect()
                 }
-                Receiver::Fleet => tables.broadcast_addresses(node.now()),
-                Receiver::Readers => tables.subscribers(),
+                Destination::Fleet => tables.broadcast_addresses(node.now()),
+                Destination::Subscribers => tables.subscribers(),
             }
         };
         send_all(node, socket, &packet, &addresses).await;
     }
 }
 
-async fn send_wishes<E: Edge>(node: &Node<E>) {
+async fn send_adapter_requests<E: Edge>(node: &Node<E>) {
     loop {
-        tokio::time::sleep(WISH_ROUND).await;
-        let wishes = node.take_wishes();
-        if wishes.is_empty() {
+        tokio::time::sleep(ADAPTER_REQUEST_INTERVAL).await;
+        let adapter_requests = node.take_adapter_requests();
+        if adapter_requests.is_empty() {
             continue;
         }
-        let mut by_holder = HashMap::<Option<InstanceId>, Vec<Wish>>::new();
+        let mut by_holder = HashMap::<Option<InstanceId>, Vec<AdapterRequest>>::new();
         {
             let tables = node.tables();
             let now = node.now();
-            for wish in wishes {
-                let shard = shard_of(&wish.target);
+            for adapter_request in adapter_requests {
+                let shard = shard_of(&adapter_request.target);
                 let holder = if tables.shards.contains(&shard) {
                     None
                 } else {
@@ -149,16 +149,16 @@
                     }
                 };
                 let batch = by_holder.entry(holder).or_default();
-                batch.push(wish);
+                batch.push(adapter_request);
             }
         }
         for (holder, batch) in by_holder {
             match holder {
-                None => node.loaders.take(batch, None, node.now()),
+                None => node.loaders.record_requests(batch, None, node.now()),
                 Some(name) => {
-                    for part in batch.chunks(WISHES_IN_A_DATAGRAM) {
-                        let wishes = Packet::Wishes(part.to_vec());
-                        node.send(Receiver::Peer(name.clone()), wishes);
+                    for part in batch.chunks(MAX_REQUESTS_PER_DATAGRAM) {
+                        let adapter_requests = Packet::AdapterRequests(part.to_vec());
+                        node.send(Destination::Peer(name.clone()), adapter_requests);
                     }
                 }
             }
@@ -168,25 +168,25 @@
 }
 
 /// Least pause between two lines on datagrams that aren't read.
-const TELL_UNREAD_EVERY: Duration = Duration::from_secs(1);
+const UNREAD_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Wishes that fit into one datagram.
-const WISHES_IN_A_DATAGRAM: usize = 16;
+const MAX_REQUESTS_PER_DATAGRAM: usize = 16;
 
 async fn receive<E: Edge>(node: &Arc<Node<E>>, socket: &UdpSocket) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
-    let mut told = None;
+    let mut last_logged = None;
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((len, from)) => match Packet::decode(&buf[..len]) {
                 Ok(packet) => {
-                    node.metrics.heard(packet.name(), len);
+                    node.metrics.record_received(packet.name(), len);
                     for reply in take(node, packet, from) {
                         send_all(node, socket, &Packet::Exchange(reply), &[from]).await;
                     }
                 }
                 Err(err) => {
-                    node.metrics.heard("unread", len);
-                    note_unread(&mut told, from, &err, node.now());
+                    node.metrics.record_received("unread", len);
+                    log_unread(&mut last_logged, from, &err, node.now());
                 }
             },
             // A peer whose port is closed: the system tells so on the next receive.
@@ -196,11 +196,11 @@
 }
 
 /// Says that a datagram is not read, once a second at most.
-fn note_unread(told: &mut Option<Time>, from: SocketAddr, err: &PacketError, now: Time) {
-    if told.is_some_and(|told| now.since(told) < TELL_UNREAD_EVERY) {
+fn log_unread(last_logged: &mut Option<Time>, from: SocketAddr, err: &PacketError, now: Time) {
+    if last_logged.is_some_and(|last_logged| now.since(last_logged) < UNREAD_LOG_INTERVAL) {
         return;
     }
-    *told = Some(now);
+    *last_logged = Some(now);
     event(
         LogEvent::DatagramMalformed,
         &[("from", &from.to_string()), ("cause", &err.to_string())],
@@ -224,36 +224,37 @@
             }
             return answers;
         }
-        Packet::Wishes(wishes) => {
-            node.loaders.take(wishes, Some(from), now);
+        Packet::AdapterRequests(adapter_requests) => {
+            node.loaders
+                .record_requests(adapter_requests, Some(from), now);
             node.loader_work.notify_waiters();
         }
-        Packet::Holdings(words) => take_words(node, words, now),
-        Packet::Quarantine(words) => quarantine::take(node, &words, now),
+        Packet::ResidencyUpdates(updates) => apply_residency_updates(node, updates, now),
+        Packet::Quarantine(updates) => quarantine::receive(node, &updates, now),
     }
     Vec::new()
 }
 
 /// Takes in what engines hold, and passes what is new on to those that ask this instance for news.
-fn take_words<E: Edge>(node: &Node<E>, words: Vec<Holdings>, now: Time) {
+fn apply_residency_updates<E: Edge>(node: &Node<E>, updates: Vec<ResidencyUpdate>, now: Time) {
     let mut tables = node.tables();
-    let mut news = Vec::new();
-    for word in words {
-        let adapters = word.adapters();
+    let mut changed = Vec::new();
+    for update in updates {
+        let adapters = update.adapters();
         let residency = &mut tables.residency;
-        if residency.apply_loader_update(&word.target, word.order, &adapters, now) {
-            news.push(word);
+        if residency.apply_loader_update(&update.target, update.order, &adapters, now) {
+            changed.push(update);
         }
     }
     let relays = tables.exchange.subscriber_count() > 0;
     drop(tables);
-    if news.is_empty() {
+    if changed.is_empty() {
         return;
     }
     node.changed.notify_waiters();
     if relays {
-        for word in news {
-            node.words.pass_on(word);
+        for update in changed {
+            node.residency_updates.pass_on(update);
         }
     }
 }
--- a/crates/gateway/src/net/caller.rs
+++ b/crates/gateway/src/net/http_client.rs
@@ -17,9 +17,9 @@
 use super::sockets::connect;
 
 /// Longest answer that is read.
-const LONGEST_ANSWER: usize = 8 * 1_024 * 1_024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1_024 * 1_024;
 /// Time for a connection.
-const CONNECT_WITHIN: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 fn failed(address: SocketAddr, cause: &dyn fmt::Display) -> GatewayError {
     GatewayError::Exchange {
@@ -29,9 +29,9 @@
 }
 
 async fn open(address: SocketAddr) -> Result<Connection, GatewayError> {
-    let stream = connect(address, CONNECT_WITHIN).await;
+    let stream = connect(address, CONNECT_TIMEOUT).await;
     let stream = stream.map_err(|err| failed(address, &err))?;
-    let connection = Connection::over(stream).await;
+    let connection = Connection::handshake(stream).await;
     connection.map_err(|err| failed(address, &err))
 }
 
@@ -42,7 +42,7 @@
 ) -> Result<(StatusCode, Bytes), GatewayError> {
     let sent = connection.tx.send_request(req.map(Full::new)).await;
     let (head, body) = sent.map_err(|err| failed(address, &err))?.into_parts();
-    let body = Limited::new(body, LONGEST_ANSWER).collect().await;
+    let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     let body = body.map_err(|err| failed(address, &err))?;
     Ok((head.status, body.to_bytes()))
 }
@@ -55,13 +55,13 @@
 pub async fn call(
     address: SocketAddr,
     req: Request<Bytes>,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<(StatusCode, Bytes), GatewayError> {
     let calling = async {
         let mut connection = open(address).await?;
         exchange(address, &mut connection, req).await
     };
-    let answered = tokio::time::timeout(within, calling).await;
+    let answered = tokio::time::timeout(timeout, calling).await;
     answered.map_err(|elapsed| failed(address, &elapsed))?
 }
 
@@ -71,7 +71,7 @@
     target: &TargetId,
     address: SocketAddr,
     req: Request<Bytes>,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<(StatusCode, Bytes), GatewayError> {
     let calling = async {
         let mut connection = match node.pool.take(target) {
@@ -82,6 +82,6 @@
         node.pool.put(target, connection, None);
         Ok(answer)
     };
-    let answered = tokio::time::timeout(within, calling).await;
+    let answered = tokio::time::timeout(timeout, calling).await;
     answered.map_err(|elapsed| failed(address, &elapsed))?
 }
--- a/crates/gateway/src/net/answers.rs
+++ b/crates/gateway/src/net/job_response.rs
@@ -8,9 +8,9 @@
 use crate::decide::tables::Tables;
 use crate::edge::{Edge, Protocol};
 
-use super::front::{Found, Job, TOO_LATE};
+use super::front::{Job, SearchOutcome, TOO_LATE};
+use super::local_response::{ResponseBody, error_response, spread_retry_after};
 use super::log::{LogEvent, event};
-use super::refuse::{AnswerBody, answer, spread_retry_after};
 
 /// Why a request is refused under which targets end. It has run, so it is not told to come back.
 const QUARANTINED: &str =
@@ -34,7 +34,7 @@
         );
     }
 
-    pub(super) fn log_attempt(&self, target: &TargetId, cause: &str) {
+    pub(super) fn log_failed_attempt(&self, target: &TargetId, cause: &str) {
         let [target, runs] = [target.to_string(), self.runs.to_string()];
         let adapter = Tables::adapter_of(&self.call).map(ToString::to_string);
         let adapter = adapter.unwrap_or_default();
@@ -50,40 +50,42 @@
         );
     }
 
-    pub(super) fn note_answer(&self, status: StatusCode) {
+    pub(super) fn record_response(&self, status: StatusCode) {
         let after = self.node.now().since(self.arrived);
         let kind = self.ticket.route().kind;
-        self.node.metrics.answered(kind, status.as_u16(), after);
+        self.node
+            .metrics
+            .request_answered(kind, status.as_u16(), after);
     }
 
     pub(super) fn elapsed_ms(&self) -> String {
         self.node.now().since(self.arrived).as_millis().to_string()
     }
 
-    pub(super) fn own_answer(&self, found: &Found<E>) -> Response<AnswerBody> {
+    pub(super) fn local_response(&self, found: &SearchOutcome<E>) -> Response<ResponseBody> {
         let (status, message, after) = match found {
-            Found::NotRun(why) => {
+            SearchOutcome::NotRun(why) => {
                 self.node.tables().refund(&self.ticket);
                 let after = Some(spread_retry_after());
                 (StatusCode::SERVICE_UNAVAILABLE, *why, after)
             }
-            Found::Late(excess) => {
+            SearchOutcome::QueueTooLong(excess) => {
                 self.node.tables().refund(&self.ticket);
                 let after = Some(*excess + spread_retry_after());
                 (StatusCode::SERVICE_UNAVAILABLE, TOO_LATE, after)
             }
-            Found::MayHaveRun(why) => (StatusCode::BAD_GATEWAY, *why, None),
-            Found::Quarantined => {
+            SearchOutcome::MayHaveRun(why) => (StatusCode::BAD_GATEWAY, *why, None),
+            SearchOutcome::Quarantined => {
                 if self.runs == 0 {
                     self.node.tables().refund(&self.ticket);
                 }
                 (StatusCode::BAD_GATEWAY, QUARANTINED, None)
             }
-            Found::TimeUp | Found::Answer(_) => {
+            SearchOutcome::TimedOut | SearchOutcome::Response(_) => {
                 (StatusCode::GATEWAY_TIMEOUT, "no answer in time", None)
             }
         };
-        self.note_answer(status);
+        self.record_response(status);
         let [sends, config] = [self.sends.to_string(), self.ticket.config().to_string()];
         let ms = self.elapsed_ms();
         let fingerprint = self.fingerprint.to_string();
@@ -96,25 +98,25 @@
             ("config", &*config),
             ("ms", &*ms),
         ];
-        if matches!(found, Found::Quarantined) {
+        if matches!(found, SearchOutcome::Quarantined) {
             fields.push(("fingerprint", &*fingerprint));
         }
         event(LogEvent::RequestRefused, &fields);
-        answer(&self.node.protocol, status, message, after)
+        error_response(&self.node.protocol, status, message, after)
     }
 
     /// Passes a target's answer on.
-    pub(super) fn pass(
+    pub(super) fn forward_response(
         &self,
         parts: &http::response::Parts,
-        body: AnswerBody,
-    ) -> Response<AnswerBody> {
+        body: ResponseBody,
+    ) -> Response<ResponseBody> {
         let mut res = Response::new(body);
         *res.status_mut() = parts.status;
-        *res.headers_mut() = self.node.protocol.answer_headers(parts);
+        *res.headers_mut() = self.node.protocol.response_headers(parts);
         let workspace = self.ticket.workspace.as_ref().map(ToString::to_string);
         let workspace = workspace.unwrap_or_default();
-        self.note_answer(parts.status);
+        self.record_response(parts.status);
         let (target, at_target) = match &self.last_send {
             Some((target, sent)) => (target.to_string(), self.node.now().since(*sent)),
             None => (String::new(), Duration::ZERO),
--- a/crates/gateway/src/net/leases.rs
+++ b/crates/gateway/src/net/leases.rs
@@ -19,33 +19,33 @@
 use super::node::Node;
 
 /// Longest sleep of a lease's task.
-const LONGEST_SLEEP: Duration = Duration::from_millis(300);
+const MAX_SLEEP: Duration = Duration::from_millis(300);
 /// Time after the start in which peers are waited for, so that not the first one takes all; a lease
 /// held before a restart is taken at once.
-const MEET_PEERS: Duration = Duration::from_millis(700);
+const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(700);
 
 /// Added for each shard, so that one instance doesn't claim several before the others hear of it.
-const BETWEEN_SHARDS: Duration = Duration::from_millis(250);
+const SHARD_CLAIM_DELAY: Duration = Duration::from_millis(250);
 
 /// The leases as seen by this instance.
 #[derive(Debug)]
 pub(super) struct Leases {
     shards: Vec<Mutex<ShardLease>>,
-    given_up: AtomicBool,
+    released: AtomicBool,
 }
 
 impl Leases {
-    pub(super) fn new(me: &InstanceId, handover: Duration) -> Self {
-        let lease = |_| Mutex::new(ShardLease::new(me.clone(), handover));
+    pub(super) fn new(local: &InstanceId, handover: Duration) -> Self {
+        let lease = |_| Mutex::new(ShardLease::new(local.clone(), handover));
         Self {
             shards: (0..SHARDS).map(lease).collect(),
-            given_up: AtomicBool::new(false),
+            released: AtomicBool::new(false),
         }
     }
 
     /// No lease is kept any longer.
-    fn given_up(&self) -> bool {
-        self.given_up.load(Ordering::Relaxed)
+    fn released(&self) -> bool {
+        self.released.load(Ordering::Relaxed)
     }
 
     fn lock(&self, shard: u8) -> MutexGuard<'_, ShardLease> {
@@ -54,7 +54,7 @@
     }
 
     /// Lives of a shard's engines that no late order to a former life can meet, as of the last write.
-    pub(super) fn settled(&self, shard: u8) -> Vec<ShortHash> {
+    pub(super) fn settled_incarnations(&self, shard: u8) -> Vec<ShortHash> {
         self.lock(shard).settled().to_vec()
     }
 
@@ -71,7 +71,7 @@
 /// Reads all leases in one call where this instance may have held one before a restart, so that it is taken
 /// at once, then keeps each.
 pub(super) async fn run<E: Edge>(node: Arc<Node<E>>) {
-    node.met().await;
+    node.wait_for_peer_list().await;
     let may_hold = node.tables().may_hold_leases();
     if may_hold && let Ok(listing) = node.store.list(Kind::Leases).await {
         let now = node.now();
@@ -90,67 +90,74 @@
         }
     }
     for shard in 0..SHARDS {
-        tokio::spawn(keep(Arc::clone(&node), shard));
+        tokio::spawn(maintain(Arc::clone(&node), shard));
     }
 }
 
 /// Keeps the lease of one shard until the process ends. One that stops takes no further lease, but
 /// goes on with those that it holds: its engines load on while it serves its last requests.
-async fn keep<E: Edge>(node: Arc<Node<E>>, shard: u8) {
-    let meets_until = node.now() + MEET_PEERS + BETWEEN_SHARDS * u32::from(shard);
-    while !node.leases.given_up() && (!node.stopping() || holds(&node, shard)) {
+async fn maintain<E: Edge>(node: Arc<Node<E>>, shard: u8) {
+    let may_claim_at = node.now() + PEER_DISCOVERY_TIME + SHARD_CLAIM_DELAY * u32::from(shard);
+    while !node.leases.released() && (!node.is_stopping() || is_held(&node, shard)) {
         let now = node.now();
-        let wanted = now > meets_until && wanted(&node, shard, now);
-        let before = node.leases.settled(shard);
-        let settled = settled(&node, shard, &before, now);
+        let is_wanted = now > may_claim_at && is_wanted(&node, shard, now);
+        let before = node.leases.settled_incarnations(shard);
+        let settled_incarnations = settled_incarnations(&node, shard, &before, now);
         let step = {
             let mut lease = node.leases.lock(shard);
-            lease.set_settled(settled);
-            lease.step(wanted, now)
+            lease.set_settled(settled_incarnations);
+            lease.step(is_wanted, now)
         };
         match step {
             LeaseStep::Sleep(until) => {
-                let pause = until.since(now).min(LONGEST_SLEEP);
+                let pause = until.since(now).min(MAX_SLEEP);
                 tokio::time::sleep(pause.max(Duration::from_millis(5))).await;
             }
             LeaseStep::Read => read(&node, shard).await,
             LeaseStep::Write(record, at) => write(&node, shard, record, at).await,
         }
-        note(&node, shard);
+        record_lease(&node, shard);
     }
 }
 
-fn settled<E: Edge>(node: &Node<E>, shard: u8, before: &[ShortHash], now: Time) -> Vec<ShortHash> {
-    let ours = |target: &TargetId| shard_of(target) == shard;
+fn settled_incarnations<E: Edge>(
+    node: &Node<E>,
+    shard: u8,
+    before: &[ShortHash],
+    now: Time,
+) -> Vec<ShortHash> {
+    let in_shard = |target: &TargetId| shard_of(target) == shard;
     let tables = node.tables();
     tables
         .registry
-        .settled_incarnations(ours, before, MAX_ORDER_DELAY, now)
+        .settled_incarnations(in_shard, before, MAX_ORDER_DELAY, now)
 }
 
-fn holds<E: Edge>(node: &Node<E>, shard: u8) -> bool {
+fn is_held<E: Edge>(node: &Node<E>, shard: u8) -> bool {
     node.leases.lock(shard).is_held(node.now())
 }
 
 /// This instance comes first for the shard among those that live, hear the store and hold none
 /// yet; so the shards spread over instances, and one that is cut from the store is replaced.
-fn wanted<E: Edge>(node: &Node<E>, shard: u8, now: Time) -> bool {
+fn is_wanted<E: Edge>(node: &Node<E>, shard: u8, now: Time) -> bool {
     let tables = node.tables();
     if !tables.ready() || !tables.registry.is_store_reachable(now) {
         return false;
     }
-    let able = |peer: &&Peer| peer.ready && peer.store_reachable;
+    let is_candidate = |peer: &&Peer| peer.ready && peer.store_reachable;
     let holder = tables.peers.holder(shard, now);
     if holder.is_some_and(|peer| peer.store_reachable) {
         return false;
     }
-    let peers = tables.peers.live(now).filter(able);
+    let peers = tables.peers.live(now).filter(is_candidate);
     let peers = peers.map(|peer| (&peer.member, peer.shards.is_empty()));
     let all = peers
         .chain([(&tables.local, tables.shards.is_empty())])
         .collect::<Vec<_>>();
-    let any_free = all.iter().any(|(_, free)| *free);
-    let candidates = all.iter().filter(|(_, free)| *free || !any_free);
+    let has_free_candidate = all.iter().any(|(_, is_free)| *is_free);
+    let candidates = all
+        .iter()
+        .filter(|(_, is_free)| *is_free || !has_free_candidate);
     let key = lease_key(shard);
     let first = candidates.max_by_key(|(member, _)| member.precedence(key));
     first.is_some_and(|(member, _)| member.name == tables.local.name)
@@ -166,7 +173,7 @@
             _ => lease.record_write_failure(false, now),
         },
         Ok(None) => lease.record_read(None, now),
-        Err(_away) => lease.record_write_failure(false, now),
+        Err(_unavailable) => lease.record_write_failure(false, now),
     }
 }
 
@@ -193,33 +200,33 @@
 }
 
 /// Brings the tables in line with the lease and tells of changes.
-fn note<E: Edge>(node: &Node<E>, shard: u8) {
+fn record_lease<E: Edge>(node: &Node<E>, shard: u8) {
     let now = node.now();
-    let may = node.leases.may_order(shard, now);
-    let holds = node.leases.lock(shard).is_held(now);
+    let may_order = node.leases.may_order(shard, now);
+    let is_held = node.leases.lock(shard).is_held(now);
     let mut tables = node.tables();
     tables.claims.retain(|held| *held != shard);
-    if holds {
+    if is_held {
         tables.claims.push(shard);
     }
-    let had = tables.shards.contains(&shard);
-    if had == may.is_some() {
+    let was_held = tables.shards.contains(&shard);
+    if was_held == may_order.is_some() {
         return;
     }
-    if may.is_some() {
+    if may_order.is_some() {
         tables.shards.push(shard);
     } else {
         tables.shards.retain(|held| *held != shard);
     }
     drop(tables);
-    let told = if had {
+    let log_event = if was_held {
         LogEvent::LeaseLost
     } else {
         LogEvent::LeaseTaken
     };
-    let fencing = may.map_or("none".into(), |fencing| fencing.to_string());
+    let fencing = may_order.map_or("none".into(), |fencing| fencing.to_string());
     event(
-        told,
+        log_event,
         &[("shard", &shard.to_string()), ("fencing", &fencing)],
     );
     node.loader_work.notify_waiters();
@@ -229,11 +236,11 @@
 ///
 /// A lease that the store refuses to write stays: nobody else can take it meanwhile, and this
 /// instance, or its next life under the same name, goes on with it.
-pub(super) async fn release<E: Edge>(node: &Node<E>) {
-    node.leases.given_up.store(true, Ordering::Relaxed);
+pub(super) async fn release_all<E: Edge>(node: &Node<E>) {
+    node.leases.released.store(true, Ordering::Relaxed);
     for shard in 0..SHARDS {
-        let released = node.leases.lock(shard).release_record(node.now());
-        let Some((record, at)) = released else {
+        let record = node.leases.lock(shard).release_record(node.now());
+        let Some((record, at)) = record else {
             continue;
         };
         node.tables().shards.retain(|held| *held != shard);
--- a/crates/gateway/src/net/refuse.rs
+++ b/crates/gateway/src/net/local_response.rs
@@ -12,23 +12,23 @@
 use crate::edge::Protocol;
 
 /// Body of any answer.
-pub(super) type AnswerBody = UnsyncBoxBody<Bytes, std::io::Error>;
+pub(super) type ResponseBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
 /// A body that is at hand.
-pub(super) fn whole(bytes: Bytes) -> AnswerBody {
+pub(super) fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
 /// An answer of our own.
-pub(super) fn answer<P: Protocol>(
+pub(super) fn error_response<P: Protocol>(
     protocol: &P,
     status: StatusCode,
     message: &str,
     retry_after: Option<Duration>,
-) -> Response<AnswerBody> {
-    let mut res = Response::new(whole(protocol.own_body(message)));
+) -> Response<ResponseBody> {
+    let mut res = Response::new(full_body(protocol.error_body(message)));
     *res.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     res.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -43,18 +43,21 @@
 
 /// Shortest time until a refused caller returns. Early enough to be served in time on its second
 /// try.
-const RETRY_AFTER_LEAST: Duration = Duration::from_millis(80);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(80);
 /// Callers that are refused in the same moment come back over this span, not together.
 const RETRY_AFTER_SPREAD: Duration = Duration::from_millis(240);
 
 /// When a caller that met full or missing targets is to return.
 pub(super) fn spread_retry_after() -> Duration {
-    let part = rand::rng().random_range(0.0..1.0);
-    RETRY_AFTER_LEAST + RETRY_AFTER_SPREAD.mul_f64(part)
+    let fraction = rand::rng().random_range(0.0..1.0);
+    MIN_RETRY_AFTER + RETRY_AFTER_SPREAD.mul_f64(fraction)
 }
 
 /// The answer to a refusal; every status below says that the request has not run.
-pub(super) fn refusal<P: Protocol>(protocol: &P, refusal: &Refusal) -> Response<AnswerBody> {
+pub(super) fn refusal_response<P: Protocol>(
+    protocol: &P,
+    refusal: &Refusal,
+) -> Response<ResponseBody> {
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     let soon = Some(spread_retry_after());
     let (status, message, after) = match *refusal {
@@ -78,5 +81,5 @@
         Refusal::Full => (unavailable, "all targets are full: try again", soon),
         Refusal::NoTarget => (unavailable, "no target can run this: try again", soon),
     };
-    answer(protocol, status, message, after)
+    error_response(protocol, status, message, after)
 }
--- a/crates/gateway/src/net/log.rs
+++ b/crates/gateway/src/net/log.rs
@@ -10,7 +10,7 @@
 const REQUEST_EVENTS_PER_SECOND: u32 = 60;
 
 /// Events from this number on come with each request or order to an engine.
-const FIRST_FREQUENT: u16 = 3_303;
+const FIRST_FREQUENT_CODE: u16 = 3_303;
 
 bluebellstage_telemetry::log_events! {
     /// The instance serves.
@@ -106,18 +106,18 @@
     /// Whether it comes with each request or order, so that its volume must be bounded.
     #[must_use]
     pub const fn is_frequent(self) -> bool {
-        self.code() >= FIRST_FREQUENT
+        self.code() >= FIRST_FREQUENT_CODE
     }
 }
 
-struct Bound {
-    since: Option<Instant>,
+struct RateLimit {
+    window_start: Option<Instant>,
     written: u32,
     left_out: u32,
 }
 
-static BOUND: Mutex<Bound> = Mutex::new(Bound {
-    since: None,
+static RATE_LIMIT: Mutex<RateLimit> = Mutex::new(RateLimit {
+    window_start: None,
     written: 0,
     left_out: 0,
 });
@@ -127,7 +127,7 @@
     if !log::log_enabled!(target: LOG_TARGET, event.level()) {
         return;
     }
-    if event.is_frequent() && !within_bound() {
+    if event.is_frequent() && !is_within_rate_limit() {
         return;
     }
     write(event, fields);
@@ -170,25 +170,25 @@
     }
 }
 
-fn within_bound() -> bool {
-    let mut bound = BOUND
+fn is_within_rate_limit() -> bool {
+    let mut rate_limit = RATE_LIMIT
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let fresh = bound
-        .since
-        .is_none_or(|since| since.elapsed() > Duration::from_secs(1));
-    if fresh {
-        let left_out = std::mem::take(&mut bound.left_out);
-        bound.since = Some(Instant::now());
-        bound.written = 0;
+    let is_new_window = rate_limit
+        .window_start
+        .is_none_or(|window_start| window_start.elapsed() > Duration::from_secs(1));
+    if is_new_window {
+        let left_out = std::mem::take(&mut rate_limit.left_out);
+        rate_limit.window_start = Some(Instant::now());
+        rate_limit.written = 0;
         if left_out > 0 {
             write(LogEvent::EventsLeftOut, &[("count", &left_out.to_string())]);
         }
     }
-    if bound.written >= REQUEST_EVENTS_PER_SECOND {
-        bound.left_out += 1;
+    if rate_limit.written >= REQUEST_EVENTS_PER_SECOND {
+        rate_limit.left_out += 1;
         return false;
     }
-    bound.written += 1;
+    rate_limit.written += 1;
     true
 }
--- a/crates/gateway/src/net/metrics.rs
+++ b/crates/gateway/src/net/metrics.rs
@@ -22,10 +22,10 @@
     instruments: Instruments,
     requests: Counter<u64>,
     refusals: Counter<u64>,
-    answer_time: Histogram<f64>,
+    response_time: Histogram<f64>,
     attempts: Counter<u64>,
     ejections: Counter<u64>,
-    targets_ended: Counter<u64>,
+    target_crashes: Counter<u64>,
     quarantined: Counter<u64>,
     quarantine: Gauge<u64>,
     limited: Gauge<u64>,
@@ -39,8 +39,8 @@
     shards: Gauge<u64>,
     datagrams: Counter<u64>,
     datagram_bytes: Counter<u64>,
-    news_age: Gauge<u64>,
-    readers: Gauge<u64>,
+    update_age: Gauge<u64>,
+    subscribers: Gauge<u64>,
 }
 
 impl fmt::Debug for Metrics {
@@ -58,27 +58,27 @@
     }
 }
 
-fn count(number: usize) -> u64 {
-    u64::try_from(number).unwrap_or(u64::MAX)
+fn count(amount: usize) -> u64 {
+    u64::try_from(amount).unwrap_or(u64::MAX)
 }
 
 impl Metrics {
     /// Instruments with a registry of their own, so that several instances fit in one process.
     pub(super) fn new() -> Self {
         let instruments = Instruments::new();
-        let counter = |name, says| instruments.counter(name, says);
-        let gauge = |name, says| instruments.gauge(name, says);
+        let counter = |name, description| instruments.counter(name, description);
+        let gauge = |name, description| instruments.gauge(name, description);
         Self {
             requests: counter("bluebellstage.requests", "Requests answered, by status"),
             refusals: counter("bluebellstage.refusals", "Requests refused, by reason"),
-            answer_time: instruments.seconds(
+            response_time: instruments.seconds(
                 "bluebellstage.answer_time",
                 "From a request's arrival to the head of its answer",
                 SECONDS_BUCKETS,
             ),
             attempts: counter("bluebellstage.attempts", "Attempts at targets, by outcome"),
             ejections: counter("bluebellstage.ejections", "Targets left alone for a while"),
-            targets_ended: counter(
+            target_crashes: counter(
                 "bluebellstage.targets_ended",
                 "Targets that ended while they ran requests of this instance",
             ),
@@ -110,11 +110,11 @@
                 "bluebellstage.datagram_bytes",
                 "Bytes of datagrams between instances, by kind and direction",
             ),
-            news_age: gauge(
+            update_age: gauge(
                 "bluebellstage.news_age_ms",
                 "Mean age in milliseconds of what is known of other instances",
             ),
-            readers: gauge(
+            subscribers: gauge(
                 "bluebellstage.news_readers",
                 "Instances that this one relays news to",
             ),
@@ -123,50 +123,50 @@
     }
 
     /// A datagram went to so many instances.
-    pub(super) fn told(&self, kind: &'static str, receivers: usize, bytes: usize) {
+    pub(super) fn record_sent(&self, kind: &'static str, receivers: usize, bytes: usize) {
         self.datagram(kind, "sent", receivers, bytes * receivers);
     }
 
     /// A datagram came.
-    pub(super) fn heard(&self, kind: &'static str, bytes: usize) {
+    pub(super) fn record_received(&self, kind: &'static str, bytes: usize) {
         self.datagram(kind, "received", 1, bytes);
     }
 
-    fn datagram(&self, kind: &'static str, direction: &'static str, number: usize, bytes: usize) {
+    fn datagram(&self, kind: &'static str, direction: &'static str, amount: usize, bytes: usize) {
         let labels = [
             KeyValue::new("kind", kind),
             KeyValue::new("direction", direction),
         ];
-        self.datagrams.add(count(number), &labels);
+        self.datagrams.add(count(amount), &labels);
         self.datagram_bytes.add(count(bytes), &labels);
     }
 
     /// A request was answered.
-    pub(super) fn answered(&self, kind: RouteKind, status: u16, after: Duration) {
+    pub(super) fn request_answered(&self, kind: RouteKind, status: u16, after: Duration) {
         let kind = KeyValue::new("kind", kind_name(kind));
         let status = KeyValue::new("status", i64::from(status));
         self.requests.add(1, &[kind.clone(), status]);
-        self.answer_time.record(after.as_secs_f64(), &[kind]);
+        self.response_time.record(after.as_secs_f64(), &[kind]);
     }
 
     /// A request was refused.
-    pub(super) fn refused(&self, reason: &'static str) {
+    pub(super) fn request_refused(&self, reason: &'static str) {
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
     /// An attempt at a target ended.
-    pub(super) fn attempted(&self, outcome: &'static str) {
+    pub(super) fn attempt_ended(&self, outcome: &'static str) {
         self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// A target was ejected.
-    pub(super) fn ejected(&self) {
+    pub(super) fn target_ejected(&self) {
         self.ejections.add(1, &[]);
     }
 
     /// A target ended under requests of this instance.
-    pub(super) fn target_ended(&self) {
-        self.targets_ended.add(1, &[]);
+    pub(super) fn target_crashed(&self) {
+        self.target_crashes.add(1, &[]);
     }
 
     /// A request is no longer sent to targets.
@@ -175,18 +175,18 @@
     }
 
     /// An engine answered an order, or didn't.
-    pub(super) fn ordered(&self, answer: &'static str) {
+    pub(super) fn order_ended(&self, answer: &'static str) {
         self.orders.add(1, &[KeyValue::new("answer", answer)]);
     }
 
     /// A watch or list of the store ended.
-    pub(super) fn store_called(&self, kind: Kind, outcome: &'static str) {
+    pub(super) fn store_call_ended(&self, kind: Kind, outcome: &'static str) {
         let kind = KeyValue::new("kind", kind.name());
         let outcome = KeyValue::new("outcome", outcome);
         self.store_calls.add(1, &[kind, outcome]);
     }
 
-    fn record_store_waits(&self, tables: &Tables, now: Time) {
+    fn record_open_store_calls(&self, tables: &Tables, now: Time) {
         for (kind, wait) in tables.store_calls.all() {
             let age = wait
                 .open_since
@@ -200,7 +200,7 @@
     /// All metrics as text.
     pub(super) fn text(&self, tables: &Tables, connections: usize, now: Time) -> String {
         self.config_version.record(tables.routes.version().0, &[]);
-        self.record_store_waits(tables, now);
+        self.record_open_store_calls(tables, now);
         let refused = tables.quarantine.refused(now).count();
         self.quarantine.record(count(refused), &[]);
         self.limited
@@ -211,8 +211,8 @@
             .record(count(tables.peers.live(now).count()), &[]);
         self.connections.record(count(connections), &[]);
         let age = u64::try_from(tables.update_age(now).as_millis()).unwrap_or(u64::MAX);
-        self.news_age.record(age, &[]);
-        self.readers
+        self.update_age.record(age, &[]);
+        self.subscribers
             .record(count(tables.exchange.subscriber_count()), &[]);
         self.shards.record(count(tables.shards.len()), &[]);
         self.instruments.text()
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -3,31 +3,31 @@
 //! One lock guards all tables of an instance and is never held over an await; so there is no lock
 //! order to keep.
 
-pub mod caller;
+pub mod http_client;
 pub mod log;
 pub mod node;
 pub mod run;
 
 mod accept;
-mod answers;
 mod attempt;
 mod batches;
 mod control;
-mod copying;
+mod crash_check;
 mod directory;
-mod ended;
 mod follow;
 mod front;
 mod gossip;
+mod job_response;
 mod leases;
 mod loaders;
+mod local_response;
 mod metrics;
+mod peer_copy;
 mod pool;
 mod quarantine;
-mod refuse;
 mod reload;
+mod residency_updates;
 mod sockets;
 mod stop;
 mod stream;
 mod sync;
-mod words;
--- a/crates/gateway/src/net/node.rs
+++ b/crates/gateway/src/net/node.rs
@@ -11,25 +11,25 @@
 use crate::clock::boot_time;
 use crate::decide::tables::Tables;
 use crate::edge::Edge;
-use crate::packet::{Packet, Wish};
+use crate::packet::{AdapterRequest, Packet};
 use crate::settings::{NodeSettings, Terms};
 
-use super::ended::Looks;
+use super::crash_check::CrashChecks;
 use super::leases::Leases;
 use super::loaders::Loaders;
 use super::metrics::Metrics;
 use super::pool::Pool;
-use super::words::Words;
+use super::residency_updates::ResidencyQueue;
 
 /// Whom a datagram goes to.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Receiver {
+pub enum Destination {
     /// All instances, each by itself.
     All,
     /// All instances, through relays where there are some.
     Fleet,
     /// Those that ask this instance for news.
-    Readers,
+    Subscribers,
     /// One instance.
     Peer(InstanceId),
     /// Whoever sent from this address.
@@ -37,7 +37,7 @@
 }
 
 /// A datagram that waits to be sent.
-pub type Outgoing = (Receiver, Packet);
+pub type Outgoing = (Destination, Packet);
 
 /// What the tasks of an instance share.
 #[derive(Debug)]
@@ -52,11 +52,11 @@
     tables: Mutex<Tables>,
     pub(super) pool: Pool,
     pub(super) loaders: Loaders,
-    pub(super) words: Words,
+    pub(super) residency_updates: ResidencyQueue,
     pub(super) metrics: Metrics,
     pub(super) leases: Leases,
     /// Targets on which runs were cut.
-    pub(super) looks: Looks,
+    pub(super) crash_checks: CrashChecks,
     /// A peer has newer state than this instance.
     pub(super) peer_is_newer: Notify,
     /// An adapter was loaded, a target came or went.
@@ -67,16 +67,16 @@
     pub(super) stop: Notify,
     /// The first try to register is over; the first list of instances is, too.
     registered: watch::Sender<bool>,
-    met: watch::Sender<bool>,
-    stopping: AtomicBool,
-    closing: AtomicBool,
+    peers_listed: watch::Sender<bool>,
+    is_stopping: AtomicBool,
+    is_closing: AtomicBool,
     pub(super) connections: AtomicUsize,
-    wishes: Mutex<Vec<Wish>>,
+    adapter_requests: Mutex<Vec<AdapterRequest>>,
     outgoing: mpsc::Sender<Outgoing>,
 }
 
 /// Longest wait for the store's list of instances at the start.
-const MEETS_WITHIN: Duration = Duration::from_millis(400);
+const PEER_LIST_TIMEOUT: Duration = Duration::from_millis(400);
 /// Datagrams that may wait to be sent; more are dropped, as on a full link.
 const OUTGOING_QUEUE: usize = 256;
 
@@ -99,20 +99,20 @@
             tables: Mutex::new(tables),
             pool: Pool::default(),
             loaders: Loaders::default(),
-            words: Words::default(),
+            residency_updates: ResidencyQueue::default(),
             metrics: Metrics::new(),
             leases,
-            looks: Looks::default(),
+            crash_checks: CrashChecks::default(),
             peer_is_newer: Notify::new(),
             changed: Notify::new(),
             loader_work: Notify::new(),
             stop: Notify::new(),
             registered: watch::Sender::new(false),
-            met: watch::Sender::new(false),
-            stopping: AtomicBool::new(false),
-            closing: AtomicBool::new(false),
+            peers_listed: watch::Sender::new(false),
+            is_stopping: AtomicBool::new(false),
+            is_closing: AtomicBool::new(false),
             connections: AtomicUsize::new(0),
-            wishes: Mutex::default(),
+            adapter_requests: Mutex::default(),
             outgoing,
         };
         (node, packets)
@@ -129,7 +129,7 @@
     }
 
     /// Puts other terms in force.
-    pub(super) fn take_terms(&self, terms: Terms) {
+    pub(super) fn set_terms(&self, terms: Terms) {
         self.tables().set_retry_budget(terms.retry_budget);
         *self.terms() = terms;
     }
@@ -140,63 +140,70 @@
     }
 
     /// The first try to register is over.
-    pub(super) fn register_tried(&self) {
+    pub(super) fn mark_registration_tried(&self) {
         self.registered.send_replace(true);
     }
 
     /// Waits for that.
-    pub(super) async fn registered(&self) {
+    pub(super) async fn wait_for_registration(&self) {
         wait_for(&self.registered).await;
     }
 
     /// The store has told who the other instances are, or failed to.
-    pub(super) fn meet(&self) {
-        self.met.send_replace(true);
+    pub(super) fn mark_peers_listed(&self) {
+        self.peers_listed.send_replace(true);
     }
 
     /// Waits for that, but no longer than the store takes on a good day: peers and seeds may help where it
     /// doesn't answer.
-    pub(super) async fn met(&self) {
-        let _met_or_late = tokio::time::timeout(MEETS_WITHIN, wait_for(&self.met)).await;
+    pub(super) async fn wait_for_peer_list(&self) {
+        let _listed_or_late =
+            tokio::time::timeout(PEER_LIST_TIMEOUT, wait_for(&self.peers_listed)).await;
     }
 
     /// A planned stop is under way.
-    pub fn stopping(&self) -> bool {
-        self.stopping.load(Ordering::Relaxed)
+    pub fn is_stopping(&self) -> bool {
+        self.is_stopping.load(Ordering::Relaxed)
     }
 
     /// Connections are closed as soon as their requests are answered.
-    pub(super) fn closing(&self) -> bool {
-        self.closing.load(Ordering::Relaxed)
+    pub(super) fn is_closing(&self) -> bool {
+        self.is_closing.load(Ordering::Relaxed)
     }
 
     pub(super) fn begin_closing(&self) {
-        self.closing.store(true, Ordering::Relaxed);
+        self.is_closing.store(true, Ordering::Relaxed);
         self.stop.notify_waiters();
     }
 
     pub(super) fn begin_stop(&self) {
-        self.stopping.store(true, Ordering::Relaxed);
+        self.is_stopping.store(true, Ordering::Relaxed);
         self.tables().stopping = true;
         self.stop.notify_waiters();
     }
 
     /// Queues a datagram.
-    pub(super) fn send(&self, to: Receiver, packet: Packet) {
+    pub(super) fn send(&self, to: Destination, packet: Packet) {
         if self.outgoing.try_send((to, packet)).is_err() {
             super::log::event(super::log::LogEvent::DatagramDropped, &[]);
         }
     }
 
     /// Queues news for the loaders; sent with the next round, or at once if `urgent`.
-    pub(super) fn wish(&self, wish: Wish) {
-        let mut wishes = self.wishes.lock().unwrap_or_else(PoisonError::into_inner);
-        wishes.push(wish);
-    }
-
-    pub(super) fn take_wishes(&self) -> Vec<Wish> {
-        let mut wishes = self.wishes.lock().unwrap_or_else(PoisonError::into_inner);
-        std::mem::take(&mut *wishes)
+    pub(super) fn queue_adapter_request(&self, adapter_request: AdapterRequest) {
+        let mut adapter_requests = self
+            .adapter_requests
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        adapter_requests.push(adapter_request);
+    }
+
+    pub(super) fn take_adapter_requests(&self) -> Vec<AdapterRequest> {
+        let mut adapter_requests = self
+            .adapter_requests
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        std::mem::take(&mut *adapter_requests)
     }
 }
 
--- a/crates/gateway/src/net/copying.rs
+++ b/crates/gateway/src/net/peer_copy.rs
@@ -13,41 +13,41 @@
 use crate::edge::Edge;
 use crate::error::GatewayError;
 
-use super::caller::call;
-use super::control::{COPY_PATH, Copy, Have};
+use super::control::{COPY_PATH, KnownState, StateCopy};
+use super::http_client::call;
 use super::log::{LogEvent, event};
 use super::node::Node;
-use super::sync::{adopt, announce};
+use super::sync::{adopt_config, announce};
 
 /// Pause between two copies taken from peers.
-const COPY_PAUSE: Duration = Duration::from_millis(300);
+const COPY_INTERVAL: Duration = Duration::from_millis(300);
 /// Time for a peer's copy; another peer is asked after it.
-const COPY_WITHIN: Duration = Duration::from_millis(600);
+const COPY_TIMEOUT: Duration = Duration::from_millis(600);
 /// Peers that are asked in turn.
-const COPY_SOURCES: usize = 4;
+const MAX_COPY_SOURCES: usize = 4;
 /// First and longest pause between two rounds of questions of an instance without a configuration.
-const START_PAUSE: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(1)];
+const START_BACKOFF: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(1)];
 /// Peers among which the first one to ask is drawn: all that start at once would ask the same one.
-const START_SOURCES: usize = 8;
+const FIRST_SOURCE_CANDIDATES: usize = 8;
 
 /// Takes newer state from peers until the process ends.
 pub(super) async fn run<E: Edge>(node: Arc<Node<E>>) {
-    node.met().await;
-    let mut start_pause = START_PAUSE[0];
+    node.wait_for_peer_list().await;
+    let mut start_backoff = START_BACKOFF[0];
     loop {
-        let configured = node.tables().configured();
-        let sources = if configured {
+        let is_configured = node.tables().configured();
+        let sources = if is_configured {
             node.peer_is_newer.notified().await;
-            tokio::time::sleep(COPY_PAUSE).await;
+            tokio::time::sleep(COPY_INTERVAL).await;
             newer_peers(&node)
         } else {
-            starters(&node)
+            startup_sources(&node)
         };
         for address in sources {
-            let have = have(&node.tables());
-            match copy(address, have).await {
+            let known = known_state(&node.tables());
+            match fetch_copy(address, known).await {
                 Ok(copy) => {
-                    take(&node, copy, address);
+                    apply_copy(&node, copy, address);
                     event(LogEvent::PeerCopyTaken, &[("peer", &address.to_string())]);
                     if node.tables().configured() {
                         break;
@@ -59,10 +59,10 @@
                 ),
             }
         }
-        if !configured {
-            let told = node.peer_is_newer.notified();
-            let _told_or_time = tokio::time::timeout(start_pause, told).await;
-            start_pause = (start_pause * 2).min(START_PAUSE[1]);
+        if !is_configured {
+            let notified = node.peer_is_newer.notified();
+            let _notified_or_elapsed = tokio::time::timeout(start_backoff, notified).await;
+            start_backoff = (start_backoff * 2).min(START_BACKOFF[1]);
         }
     }
 }
@@ -78,29 +78,29 @@
     newer.shuffle(&mut rand::rng());
     // One that has just lost the store keeps targets for a while that the others know to be gone.
     newer.sort_by_key(|peer| {
-        let away = peer.member.failure_domain != tables.local.failure_domain;
-        (!peer.store_reachable, away)
+        let is_remote = peer.member.failure_domain != tables.local.failure_domain;
+        (!peer.store_reachable, is_remote)
     });
     let addresses = newer.iter().map(|peer| peer.member.control);
-    addresses.take(COPY_SOURCES).collect()
+    addresses.take(MAX_COPY_SOURCES).collect()
 }
 
 /// Whom an instance without a configuration asks for one.
-fn starters<E: Edge>(node: &Node<E>) -> Vec<SocketAddr> {
+fn startup_sources<E: Edge>(node: &Node<E>) -> Vec<SocketAddr> {
     let seeds = node.terms().seeds.clone();
     let tables = node.tables();
-    let mut givers = tables.copy_sources(node.now());
-    let first = givers.len().min(START_SOURCES);
-    givers[..first].shuffle(&mut rand::rng());
-    givers.truncate(COPY_SOURCES);
-    givers.extend(seeds);
-    let me = tables.local.control;
-    givers.retain(|giver| *giver != me);
-    givers
+    let mut sources = tables.copy_sources(node.now());
+    let first = sources.len().min(FIRST_SOURCE_CANDIDATES);
+    sources[..first].shuffle(&mut rand::rng());
+    sources.truncate(MAX_COPY_SOURCES);
+    sources.extend(seeds);
+    let local = tables.local.control;
+    sources.retain(|source| *source != local);
+    sources
 }
 
-fn have(tables: &Tables) -> Have {
-    Have {
+fn known_state(tables: &Tables) -> KnownState {
+    KnownState {
         config: tables.routes.version(),
         targets: tables.registry.copied_revision(),
         targets_digest: tables.registry.digest(),
@@ -110,15 +110,15 @@
     }
 }
 
-async fn copy(address: SocketAddr, have: Have) -> Result<Copy, GatewayError> {
-    let req = Request::get(format!("{COPY_PATH}?{have}"))
+async fn fetch_copy(address: SocketAddr, known: KnownState) -> Result<StateCopy, GatewayError> {
+    let req = Request::get(format!("{COPY_PATH}?{known}"))
         .header(header::HOST, address.to_string())
         .body(Bytes::new())
         .map_err(|err| GatewayError::Exchange {
             address,
             cause: err.to_string().into(),
         })?;
-    let (_, body) = call(address, req, COPY_WITHIN).await?;
+    let (_, body) = call(address, req, COPY_TIMEOUT).await?;
     bincode::deserialize(&body).map_err(|err| GatewayError::Unreadable {
         from: address.to_string().into(),
         what: "a copy of its state",
@@ -126,13 +126,18 @@
     })
 }
 
-fn take<E: Edge>(node: &Node<E>, copy: Copy, peer: SocketAddr) {
+fn apply_copy<E: Edge>(node: &Node<E>, copy: StateCopy, peer: SocketAddr) {
     let now = node.now();
     if let Some(config) = copy.config {
-        adopt(node, config);
+        adopt_config(node, config);
     }
-    for news in &copy.versions {
-        announce(node, &news.adapter, news.age, &peer.to_string());
+    for announcement in &copy.versions {
+        announce(
+            node,
+            &announcement.adapter,
+            announcement.age,
+            &peer.to_string(),
+        );
     }
     let mut tables = node.tables();
     for AgedDecision { decision, age } in copy.verdicts {
@@ -144,8 +149,8 @@
         }
     }
     if let Some(targets) = copy.targets {
-        let holding = targets.targets.iter().map(|(_, target)| target);
-        for target in holding.filter(|target| !target.adapters.is_empty()) {
+        let with_adapters = targets.targets.iter().map(|(_, target)| target);
+        for target in with_adapters.filter(|target| !target.adapters.is_empty()) {
             tables.residency.apply_registration(target, now);
         }
         tables.registry.apply_copy(targets, now);
--- a/crates/gateway/src/net/pool.rs
+++ b/crates/gateway/src/net/pool.rs
@@ -14,13 +14,13 @@
 
 /// Part of a target's own idle limit for which a connection is used again. The target's clock
 /// started earlier than ours, and a request that meets the close may be lost.
-const USED_PART_OF_LIMIT: f64 = 0.6;
+const IDLE_LIMIT_FRACTION: f64 = 0.6;
 /// Idle time after which a connection isn't used again where the target states no limit.
-const UNSTATED_LIMIT: Duration = Duration::from_millis(500);
+const DEFAULT_MAX_IDLE: Duration = Duration::from_millis(500);
 /// Longest idle time of any kept connection; silent breaks are met less often on fresh ones.
-const LONGEST_IDLE: Duration = Duration::from_secs(4);
+const MAX_IDLE: Duration = Duration::from_secs(4);
 /// Kept connections to one target.
-const MOST_KEPT: usize = 16;
+const MAX_IDLE_PER_TARGET: usize = 16;
 
 /// A connection to a target; closed when dropped, so that work of a caller who left is cancelled.
 #[derive(Debug)]
@@ -32,18 +32,18 @@
 }
 
 impl Connection {
-    pub(super) async fn over(stream: TcpStream) -> hyper::Result<Self> {
+    pub(super) async fn handshake(stream: TcpStream) -> hyper::Result<Self> {
         let (tx, driver) = Builder::new()
             .max_buf_size(64 * 1_024)
             .handshake(TokioIo::new(stream))
             .await?;
-        let driving = async move {
+        let drive = async move {
             // The exchange that uses the connection meets the same error and tells of it.
-            let _told_by_exchange = driver.await;
+            let _reported_by_exchange = driver.await;
         };
         Ok(Self {
             tx,
-            task: tokio::spawn(driving).abort_handle(),
+            task: tokio::spawn(drive).abort_handle(),
             reused: false,
         })
     }
@@ -56,25 +56,28 @@
 }
 
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// Kept connections by target.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
-    kept: Mutex<HashMap<TargetId, Vec<Kept>>>,
+    idle_connections: Mutex<HashMap<TargetId, Vec<IdleConnection>>>,
 }
 
 impl Pool {
     /// Takes the connection that was used last; older ones run out of time meanwhile.
     pub(super) fn take(&self, target: &TargetId) -> Option<Connection> {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let stack = kept.get_mut(target)?;
+        let mut idle_connections = self
+            .idle_connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let stack = idle_connections.get_mut(target)?;
         let now = Instant::now();
         while let Some(mut last) = stack.pop() {
-            if now < last.until && last.connection.tx.is_ready() {
+            if now < last.expires_at && last.connection.tx.is_ready() {
                 last.connection.reused = true;
                 return Some(last.connection);
             }
@@ -84,23 +87,34 @@
 
     /// Keeps a connection whose last answer was complete.
     pub(super) fn put(&self, target: &TargetId, connection: Connection, limit: Option<Duration>) {
-        let stated = limit.map(|limit| limit.mul_f64(USED_PART_OF_LIMIT));
-        let idle = stated.unwrap_or(UNSTATED_LIMIT).min(LONGEST_IDLE);
-        let until = Instant::now() + idle;
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let stack = kept.entry(target.clone()).or_default();
-        if stack.len() < MOST_KEPT {
-            stack.push(Kept { connection, until });
+        let stated = limit.map(|limit| limit.mul_f64(IDLE_LIMIT_FRACTION));
+        let idle = stated.unwrap_or(DEFAULT_MAX_IDLE).min(MAX_IDLE);
+        let expires_at = Instant::now() + idle;
+        let mut idle_connections = self
+            .idle_connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let stack = idle_connections.entry(target.clone()).or_default();
+        if stack.len() < MAX_IDLE_PER_TARGET {
+            stack.push(IdleConnection {
+                connection,
+                expires_at,
+            });
         }
     }
 
     /// Closes connections that won't be used again.
     pub(super) fn sweep(&self) {
         let now = Instant::now();
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        for stack in kept.values_mut() {
-            stack.retain(|kept| now < kept.until && !kept.connection.tx.is_closed());
+        let mut idle_connections = self
+            .idle_connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        for stack in idle_connections.values_mut() {
+            stack.retain(|idle_connections| {
+                now < idle_connections.expires_at && !idle_connections.connection.tx.is_closed()
+            });
         }
-        kept.retain(|_, stack| !stack.is_empty());
+        idle_connections.retain(|_, stack| !stack.is_empty());
     }
 }
--- a/crates/gateway/src/net/quarantine.rs
+++ b/crates/gateway/src/net/quarantine.rs
@@ -12,31 +12,31 @@
 
 use super::batches::batches;
 use super::log::{LogEvent, event};
-use super::node::{Node, Receiver};
+use super::node::{Destination, Node};
 use super::sync::apply;
 
 /// First and longest pause between two tries to reach the store.
-const STORE_PAUSE: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(2)];
+const STORE_BACKOFF: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(2)];
 
 /// A target ended under requests of this instance.
-pub(super) fn ended<E: Edge>(node: &Node<E>, ended: &Crash) {
+pub(super) fn record_crash<E: Edge>(node: &Node<E>, crash: &Crash) {
     let now = node.now();
-    let words = node.tables().quarantine.record_crash(ended, now);
-    tell(node, words);
+    let messages = node.tables().quarantine.record_crash(crash, now);
+    publish(node, messages);
 }
 
 /// Judges requests of this instance that were on a target when it ended.
-pub(super) fn judge<E: Edge>(node: &Arc<Node<E>>, target: &TargetId, requests: &[Fingerprint]) {
+pub(super) fn evaluate<E: Edge>(node: &Arc<Node<E>>, target: &TargetId, requests: &[Fingerprint]) {
     let now = node.now();
     let refused = node.tables().quarantine.evaluate(requests, now);
-    for verdict in &refused {
+    for decision in &refused {
         node.metrics.request_quarantined();
-        let [request, target] = [verdict.request.to_string(), target.to_string()];
+        let [request, target] = [decision.request.to_string(), target.to_string()];
         let fields = [("fingerprint", &*request), ("target", &*target)];
         event(LogEvent::RequestQuarantined, &fields);
-        tokio::spawn(keep(Arc::clone(node), *verdict));
+        tokio::spawn(store_decision(Arc::clone(node), *decision));
     }
-    tell(
+    publish(
         node,
         refused
             .into_iter()
@@ -46,79 +46,79 @@
 }
 
 /// A request was answered whole.
-pub(super) fn served<E: Edge>(node: &Node<E>, request: Fingerprint) {
+pub(super) fn record_served<E: Edge>(node: &Node<E>, request: Fingerprint) {
     let now = node.now();
-    let word = node.tables().quarantine.record_served(request, now);
-    if let Some(word) = word {
-        tell(node, vec![word]);
+    let message = node.tables().quarantine.record_served(request, now);
+    if let Some(message) = message {
+        publish(node, vec![message]);
     }
 }
 
 /// An operator lets a request through again; false if it is not refused.
 pub(super) fn clear<E: Edge>(node: &Arc<Node<E>>, request: Fingerprint) -> bool {
     let now = node.now();
-    let Some(verdict) = node.tables().quarantine.clear(request, now) else {
+    let Some(decision) = node.tables().quarantine.clear(request, now) else {
         return false;
     };
     let name = request.to_string();
     event(LogEvent::QuarantineCleared, &[("fingerprint", &name)]);
-    tell(node, vec![QuarantineMessage::Decided(verdict)]);
-    tokio::spawn(keep(Arc::clone(node), verdict));
+    publish(node, vec![QuarantineMessage::Decided(decision)]);
+    tokio::spawn(store_decision(Arc::clone(node), decision));
     true
 }
 
 /// Tells all others at once, and again with the next rounds.
-fn tell<E: Edge>(node: &Node<E>, words: Vec<QuarantineMessage>) {
-    if words.is_empty() {
+fn publish<E: Edge>(node: &Node<E>, messages: Vec<QuarantineMessage>) {
+    if messages.is_empty() {
         return;
     }
-    send(node, &Receiver::Fleet, words.clone());
-    node.tables().quarantine.queue_resend(words);
+    send(node, &Destination::Fleet, messages.clone());
+    node.tables().quarantine.queue_resend(messages);
 }
 
 /// Sends words in as few datagrams as hold them.
-fn send<E: Edge>(node: &Node<E>, to: &Receiver, words: Vec<QuarantineMessage>) {
-    for batch in batches(words, QuarantineMessage::estimated_bytes) {
+fn send<E: Edge>(node: &Node<E>, to: &Destination, messages: Vec<QuarantineMessage>) {
+    for batch in batches(messages, QuarantineMessage::estimated_bytes) {
         node.send(to.clone(), Packet::Quarantine(batch));
     }
 }
 
-/// Tells again what was told lately, `passed` after the round before.
-pub(super) fn tell_again<E: Edge>(node: &Node<E>, passed: Duration) {
-    let words = node.tables().quarantine.messages_for_round(passed);
-    send(node, &Receiver::Fleet, words);
+/// Tells again what was told lately, `elapsed` after the round before.
+pub(super) fn resend<E: Edge>(node: &Node<E>, elapsed: Duration) {
+    let messages = node.tables().quarantine.messages_for_round(elapsed);
+    send(node, &Destination::Fleet, messages);
 }
 
 /// Takes in what another instance told, and passes what is new on to those that ask this one for news.
-pub(super) fn take<E: Edge>(node: &Node<E>, words: &[QuarantineMessage], now: Time) {
+pub(super) fn receive<E: Edge>(node: &Node<E>, messages: &[QuarantineMessage], now: Time) {
     let mut tables = node.tables();
-    let mut news = Vec::new();
-    for word in words {
-        if tables.quarantine.apply(word, now) {
-            news.push(word.clone());
+    let mut new_messages = Vec::new();
+    for message in messages {
+        if tables.quarantine.apply(message, now) {
+            new_messages.push(message.clone());
         }
     }
     if tables.exchange.subscriber_count() > 0 {
-        tables.quarantine.queue_forward(news, now);
+        tables.quarantine.queue_forward(new_messages, now);
     }
 }
 
 /// Passes on what others told lately to those that ask this instance for news.
-pub(super) fn pass_on<E: Edge>(node: &Node<E>) {
+pub(super) fn forward_queued<E: Edge>(node: &Node<E>) {
     let now = node.now();
-    let words = node.tables().quarantine.take_forwarded(now);
-    send(node, &Receiver::Readers, words);
+    let messages = node.tables().quarantine.take_forwarded(now);
+    send(node, &Destination::Subscribers, messages);
 }
 
 /// Forgets what is long ago, in the store as well: whoever starts later would take it up again.
 pub(super) fn sweep<E: Edge>(node: &Arc<Node<E>>, now: Time) {
-    let over = node.tables().quarantine.sweep(now);
-    if over.is_empty() || !node.tables().follows_store(now) {
+    let expired = node.tables().quarantine.sweep(now);
+    if expired.is_empty() || !node.tables().follows_store(now) {
         return;
     }
     let node = Arc::clone(node);
     tokio::spawn(async move {
-        for request in over {
+        for request in expired {
             // One that stays is taken up again by a fleet that starts, and lasts an hour more.
             let name = request.to_string();
             let _removed_or_away = node.store.remove(Kind::Verdicts, &name).await;
@@ -127,10 +127,10 @@
 }
 
 /// Writes a verdict to the store, until it is there or a newer one is.
-async fn keep<E: Edge>(node: Arc<Node<E>>, verdict: QuarantineDecision) {
-    let name = verdict.request.to_string();
-    let content = Content::Verdict(verdict);
-    let mut pause = STORE_PAUSE[0];
+async fn store_decision<E: Edge>(node: Arc<Node<E>>, decision: QuarantineDecision) {
+    let name = decision.request.to_string();
+    let content = Content::Verdict(decision);
+    let mut backoff = STORE_BACKOFF[0];
     let mut at = None;
     loop {
         match node.store.write(Kind::Verdicts, &name, at, &content).await {
@@ -138,35 +138,35 @@
             Err(StoreError::Conflict) => {
                 let found = node.store.read(Kind::Verdicts, &name).await;
                 if let Ok(Some(found)) = found {
-                    let known = match found.content {
-                        Some(Content::Verdict(known)) => Some(known),
+                    let stored = match found.content {
+                        Some(Content::Verdict(stored)) => Some(stored),
                         _ => None,
                     };
-                    if known.is_some_and(|known| !verdict.replaces(&known)) {
+                    if stored.is_some_and(|stored| !decision.replaces(&stored)) {
                         return;
                     }
                     at = Some(found.revision);
                 }
             }
-            Err(_away) => {}
+            Err(_unavailable) => {}
         }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(STORE_PAUSE[1]);
+        tokio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(STORE_BACKOFF[1]);
     }
 }
 
 /// Reads the verdicts that the store keeps, once, as soon as this instance is one of those that ask the store.
 /// The others copy them from it.
-pub(super) async fn read_verdicts<E: Edge>(node: Arc<Node<E>>) {
-    node.met().await;
-    let mut pause = STORE_PAUSE[0];
+pub(super) async fn load_decisions<E: Edge>(node: Arc<Node<E>>) {
+    node.wait_for_peer_list().await;
+    let mut backoff = STORE_BACKOFF[0];
     loop {
-        let follows = node.tables().follows_store(node.now());
-        if follows && let Ok(listing) = node.store.list(Kind::Verdicts).await {
+        let is_following = node.tables().follows_store(node.now());
+        if is_following && let Ok(listing) = node.store.list(Kind::Verdicts).await {
             apply(&node, Kind::Verdicts, listing, true);
             return;
         }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(STORE_PAUSE[1]);
+        tokio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(STORE_BACKOFF[1]);
     }
 }
--- a/crates/gateway/src/net/reload.rs
+++ b/crates/gateway/src/net/reload.rs
@@ -14,35 +14,35 @@
 
 /// Pause between looks at the settings without a signal. Nothing in them is urgent, and a look costs
 /// a read of a file of 2 KB.
-const LOOK: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Reads the settings at each SIGHUP, and now and then without one, until the process ends.
 pub(super) fn run<E: Edge>(node: Arc<Node<E>>, source: E::Settings) -> Result<(), GatewayError> {
     let mut hangup =
         signal(SignalKind::hangup()).map_err(|cause| GatewayError::Signal { cause })?;
     tokio::spawn(async move {
-        let mut told = String::new();
+        let mut last_logged = String::new();
         loop {
-            let asked = tokio::select! {
+            let by_signal = tokio::select! {
                 _hangup = hangup.recv() => true,
-                () = tokio::time::sleep(LOOK) => false,
+                () = tokio::time::sleep(POLL_INTERVAL) => false,
             };
-            let outcome = look(&node, &source);
-            if asked || outcome.is_news(&told) {
-                outcome.tell();
+            let outcome = poll(&node, &source);
+            if by_signal || outcome.should_log(&last_logged) {
+                outcome.log();
             }
-            told = outcome.text();
+            last_logged = outcome.text();
         }
     });
     Ok(())
 }
 
 /// What a look at the settings found.
-enum Outcome {
+enum PollOutcome {
     Unchanged,
-    /// `now`: some are in force now.
-    Taken {
-        now: bool,
+    /// `any_applied`: some are in force now.
+    Applied {
+        any_applied: bool,
         at_restart: String,
     },
     Refused {
@@ -50,28 +50,30 @@
     },
 }
 
-impl Outcome {
+impl PollOutcome {
     fn text(&self) -> String {
         match self {
             Self::Unchanged => String::new(),
-            Self::Taken { at_restart, .. } => at_restart.clone(),
+            Self::Applied { at_restart, .. } => at_restart.clone(),
             Self::Refused { cause } => cause.clone(),
         }
     }
 
     /// Keys that wait for a restart, and a file that stays unreadable, are told of once.
-    fn is_news(&self, told: &str) -> bool {
+    fn should_log(&self, last_logged: &str) -> bool {
         match self {
             Self::Unchanged => false,
-            Self::Taken { now: true, .. } => true,
-            Self::Taken { .. } | Self::Refused { .. } => self.text() != told,
+            Self::Applied {
+                any_applied: true, ..
+            } => true,
+            Self::Applied { .. } | Self::Refused { .. } => self.text() != last_logged,
         }
     }
 
-    fn tell(&self) {
+    fn log(&self) {
         match self {
             Self::Unchanged => event(LogEvent::SettingsReloaded, &[("at_restart", "")]),
-            Self::Taken { at_restart, .. } => {
+            Self::Applied { at_restart, .. } => {
                 event(LogEvent::SettingsReloaded, &[("at_restart", at_restart)]);
             }
             Self::Refused { cause } => event(LogEvent::SettingsRefused, &[("cause", cause)]),
@@ -79,25 +81,25 @@
     }
 }
 
-fn look<E: Edge>(node: &Node<E>, source: &E::Settings) -> Outcome {
+fn poll<E: Edge>(node: &Node<E>, source: &E::Settings) -> PollOutcome {
     let read = match source.read() {
         Ok(read) => read,
         Err(err) => {
-            return Outcome::Refused {
+            return PollOutcome::Refused {
                 cause: err.to_string(),
             };
         }
     };
     let compared = compare(&node.settings, &node.terms(), read);
     match compared {
-        Reload::Unchanged => Outcome::Unchanged,
+        Reload::Unchanged => PollOutcome::Unchanged,
         Reload::Changed { terms, at_restart } => {
-            let now = terms.is_some();
+            let any_applied = terms.is_some();
             if let Some(terms) = terms {
-                node.take_terms(terms);
+                node.set_terms(terms);
             }
-            Outcome::Taken {
-                now,
+            PollOutcome::Applied {
+                any_applied,
                 at_restart: at_restart.join(","),
             }
         }
--- a/crates/gateway/src/net/words.rs
+++ b/crates/gateway/src/net/residency_updates.rs
@@ -11,10 +11,10 @@
 use bluebellstage_core::TargetId;
 
 use crate::edge::Edge;
-use crate::packet::{Holdings, Packet};
+use crate::packet::{Packet, ResidencyUpdate};
 
 use super::batches::batches;
-use super::node::{Node, Receiver};
+use super::node::{Destination, Node};
 use super::quarantine;
 
 /// Pause between two batches.
@@ -22,31 +22,31 @@
 
 /// Words that wait for the next batch; a newer one on an engine replaces the one before.
 #[derive(Debug, Default)]
-pub(super) struct Words {
+pub(super) struct ResidencyQueue {
     /// For all instances.
-    own: Mutex<HashMap<TargetId, Holdings>>,
+    own: Mutex<HashMap<TargetId, ResidencyUpdate>>,
     /// From others, for those that ask this instance for news.
-    passed_on: Mutex<HashMap<TargetId, Holdings>>,
+    passed_on: Mutex<HashMap<TargetId, ResidencyUpdate>>,
 }
 
-fn queue(waiting: &Mutex<HashMap<TargetId, Holdings>>, word: Holdings) {
+fn queue(waiting: &Mutex<HashMap<TargetId, ResidencyUpdate>>, word: ResidencyUpdate) {
     let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
     waiting.insert(word.target.clone(), word);
 }
 
-fn take(waiting: &Mutex<HashMap<TargetId, Holdings>>) -> Vec<Holdings> {
+fn take(waiting: &Mutex<HashMap<TargetId, ResidencyUpdate>>) -> Vec<ResidencyUpdate> {
     let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
     waiting.drain().map(|(_, word)| word).collect()
 }
 
-impl Words {
+impl ResidencyQueue {
     /// Queues a word for all instances.
-    pub(super) fn queue(&self, word: Holdings) {
+    pub(super) fn queue(&self, word: ResidencyUpdate) {
         queue(&self.own, word);
     }
 
     /// Queues another instance's word for those that ask this one for news.
-    pub(super) fn pass_on(&self, word: Holdings) {
+    pub(super) fn pass_on(&self, word: ResidencyUpdate) {
         queue(&self.passed_on, word);
     }
 }
@@ -55,12 +55,18 @@
 pub(super) async fn run<E: Edge>(node: &Node<E>) {
     loop {
         tokio::time::sleep(BATCH_EVERY).await;
-        for batch in batches(take(&node.words.own), Holdings::estimated_bytes) {
-            node.send(Receiver::Fleet, Packet::Holdings(batch));
+        for batch in batches(
+            take(&node.residency_updates.own),
+            ResidencyUpdate::estimated_bytes,
+        ) {
+            node.send(Destination::Fleet, Packet::ResidencyUpdates(batch));
         }
-        for batch in batches(take(&node.words.passed_on), Holdings::estimated_bytes) {
-            node.send(Receiver::Readers, Packet::Holdings(batch));
+        for batch in batches(
+            take(&node.residency_updates.passed_on),
+            ResidencyUpdate::estimated_bytes,
+        ) {
+            node.send(Destination::Subscribers, Packet::ResidencyUpdates(batch));
         }
-        quarantine::pass_on(node);
+        quarantine::forward_queued(node);
     }
 }
--- a/crates/gateway/src/net/run.rs
+++ b/crates/gateway/src/net/run.rs
@@ -9,14 +9,14 @@
 use crate::error::GatewayError;
 use crate::settings::NodeSettings;
 
-use super::accept::{Door, serve};
+use super::accept::{ListenerKind, serve};
 use super::log::{LogEvent, event};
 use super::node::Node;
 use super::sockets::listen;
-use super::{copying, follow, gossip, leases, loaders, quarantine, reload, stop, sync};
+use super::{follow, gossip, leases, loaders, peer_copy, quarantine, reload, stop, sync};
 
 /// Pause between housekeepings.
-const SWEEP: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Serves until a planned stop is done.
 ///
@@ -32,23 +32,23 @@
     let (node, packets) = Node::<E>::new(settings, protocol, store);
     let node = Arc::new(node);
     let settings = &node.settings;
-    let doors = [
-        (Some(settings.member.front), Door::Front),
-        (Some(settings.member.control), Door::Control),
-        (settings.directory, Door::Directory),
-        (settings.ready, Door::Directory),
+    let listeners = [
+        (Some(settings.member.front), ListenerKind::Front),
+        (Some(settings.member.control), ListenerKind::Control),
+        (settings.directory, ListenerKind::Directory),
+        (settings.ready, ListenerKind::Directory),
     ];
-    for (address, door) in doors {
+    for (address, listener_kind) in listeners {
         let Some(address) = address else { continue };
         let listener = listen(address).map_err(|cause| GatewayError::Listen { address, cause })?;
-        tokio::spawn(serve(Arc::clone(&node), listener, door));
+        tokio::spawn(serve(Arc::clone(&node), listener, listener_kind));
     }
     if let Some(address) = settings.metrics {
         // Another process of this machine may have the port: callers are served all the same, and
         // the control address tells the metrics, too.
         match listen(address) {
             Ok(listener) => {
-                tokio::spawn(serve(Arc::clone(&node), listener, Door::Control));
+                tokio::spawn(serve(Arc::clone(&node), listener, ListenerKind::Control));
             }
             Err(err) => event(
                 LogEvent::MetricsPortRefused,
@@ -71,9 +71,9 @@
     ] {
         tokio::spawn(follow::run(Arc::clone(&node), kind));
     }
-    tokio::spawn(quarantine::read_verdicts(Arc::clone(&node)));
+    tokio::spawn(quarantine::load_decisions(Arc::clone(&node)));
     tokio::spawn(sync::register(Arc::clone(&node)));
-    tokio::spawn(copying::run(Arc::clone(&node)));
+    tokio::spawn(peer_copy::run(Arc::clone(&node)));
     tokio::spawn(leases::run(Arc::clone(&node)));
     tokio::spawn(loaders::run(Arc::clone(&node)));
     tokio::spawn(sweep(Arc::clone(&node)));
@@ -88,11 +88,11 @@
 
 async fn sweep<E: Edge>(node: Arc<Node<E>>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         let now = node.now();
         node.tables().sweep(now);
         quarantine::sweep(&node, now);
         node.pool.sweep();
-        node.looks.sweep(now);
+        node.crash_checks.sweep(now);
     }
 }
--- a/crates/gateway/src/net/sockets.rs
+++ b/crates/gateway/src/net/sockets.rs
@@ -10,15 +10,15 @@
 /// connection into a cut network hangs for minutes.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Idle time before a probe: an open connection may go silent for good without a reset.
-const PROBE_AFTER: Duration = Duration::from_secs(2);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
 /// Connections that wait to be accepted; a full queue costs the caller a second.
 const BACKLOG: i32 = 1_024;
 
 /// Sets the options of a connection; one that can't be set costs speed or a later timeout, no more.
-pub(super) fn tune(stream: &TcpStream) {
+pub(super) fn set_options(stream: &TcpStream) {
     let sock = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
+        .with_time(KEEPALIVE_IDLE)
         .with_interval(Duration::from_secs(1))
         .with_retries(2);
     let set = sock
@@ -44,11 +44,11 @@
 }
 
 /// Connects within a time.
-pub(super) async fn connect(address: SocketAddr, within: Duration) -> std::io::Result<TcpStream> {
-    let connecting = tokio::time::timeout(within, TcpStream::connect(address));
+pub(super) async fn connect(address: SocketAddr, timeout: Duration) -> std::io::Result<TcpStream> {
+    let connecting = tokio::time::timeout(timeout, TcpStream::connect(address));
     let stream = connecting
         .await
         .map_err(|_elapsed| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
-    tune(&stream);
+    set_options(&stream);
     Ok(stream)
 }
--- a/crates/gateway/src/net/stop.rs
+++ b/crates/gateway/src/net/stop.rs
@@ -11,17 +11,17 @@
 use crate::edge::{Edge, Kind, ObjectStore};
 use crate::error::GatewayError;
 
-use super::gossip::tell_end;
+use super::gossip::send_shutdown;
 use super::leases;
 use super::log::{LogEvent, event};
 use super::node::Node;
 
 /// Time kept back before the kill.
-const BEFORE_KILL: Duration = Duration::from_millis(300);
+const KILL_MARGIN: Duration = Duration::from_millis(300);
 /// Pause between looks at open connections.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest time for the last words to the store.
-const LAST_WORDS: Duration = Duration::from_millis(700);
+const FINAL_STORE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Waits for the order to stop, then serves on until callers have gone elsewhere.
 pub(super) async fn wait<E: Edge>(node: Arc<Node<E>>) -> Result<(), GatewayError> {
@@ -33,49 +33,50 @@
         LogEvent::StopAsked,
         &[("connections", &connections().to_string())],
     );
-    let asked = node.now();
+    let stop_requested_at = node.now();
     node.begin_stop();
-    let leaving = {
+    let unregistering = {
         let node = Arc::clone(&node);
         async move {
             let name = node.settings.member.name.to_string();
             node.store.remove(Kind::Members, &name).await
         }
     };
-    let leaving = tokio::spawn(tokio::time::timeout(LAST_WORDS, leaving));
+    let unregistering = tokio::spawn(tokio::time::timeout(FINAL_STORE_TIMEOUT, unregistering));
     let terms = node.terms().clone();
-    let until = terms.stop_within.saturating_sub(BEFORE_KILL);
+    let stop_time = terms.stop_timeout.saturating_sub(KILL_MARGIN);
     // Loads go on for as long as requests do; the leases are given up just before the end.
-    let release_after = until.saturating_sub(LAST_WORDS);
-    let mut releasing = None;
-    let close_after = refuse_after(terms.keep_addresses, until);
+    let release_after = stop_time.saturating_sub(FINAL_STORE_TIMEOUT);
+    let mut lease_release = None;
+    let close_after = refuse_after(terms.address_ttl, stop_time);
     loop {
-        let passed = node.now().since(asked);
-        if passed >= close_after && !node.closing() {
+        let elapsed = node.now().since(stop_requested_at);
+        if elapsed >= close_after && !node.is_closing() {
             node.begin_closing();
         }
-        let idle = passed >= close_after && connections() == 0;
-        if passed >= release_after || idle {
-            releasing.get_or_insert_with(|| tokio::spawn(release(Arc::clone(&node))));
+        let is_idle = elapsed >= close_after && connections() == 0;
+        if elapsed >= release_after || is_idle {
+            lease_release.get_or_insert_with(|| tokio::spawn(release_leases(Arc::clone(&node))));
         }
-        if passed >= until || idle {
+        if elapsed >= stop_time || is_idle {
             break;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     // What the store did not hear in time it learns from the next start, or never needs to.
-    let _told_or_late = leaving.await;
-    if let Some(releasing) = releasing {
-        let _released_or_late = releasing.await;
+    let _removed_or_late = unregistering.await;
+    if let Some(lease_release) = lease_release {
+        let _released_or_late = lease_release.await;
     }
     if let Ok(socket) = UdpSocket::bind("0.0.0.0:0").await {
-        tell_end(&node, &socket).await;
+        send_shutdown(&node, &socket).await;
     }
-    let waited = node.now().since(asked).as_millis().to_string();
+    let waited = node.now().since(stop_requested_at).as_millis().to_string();
     event(LogEvent::Stopped, &[("waited_ms", &waited)]);
     Ok(())
 }
 
-async fn release<E: Edge>(node: Arc<Node<E>>) {
-    let _released_or_late = tokio::time::timeout(LAST_WORDS, leases::release(&node)).await;
+async fn release_leases<E: Edge>(node: Arc<Node<E>>) {
+    let _released_or_late =
+        tokio::time::timeout(FINAL_STORE_TIMEOUT, leases::release_all(&node)).await;
 }
--- a/crates/gateway/src/net/stream.rs
+++ b/crates/gateway/src/net/stream.rs
@@ -13,65 +13,65 @@
 use crate::decide::health::TargetOutcome;
 use crate::edge::Edge;
 
-use super::attempt::{Answer, CutShort, Source};
-use super::front::{Found, Job};
+use super::attempt::{FailedRun, TargetResponse, TargetStream};
+use super::front::{Job, SearchOutcome};
+use super::local_response::ResponseBody;
 use super::log::{LogEvent, event};
-use super::refuse::AnswerBody;
 
 /// Silence of a target, in multiples of the route's longest pause, after which its stream goes on
 /// elsewhere. Callers give up after eight.
-const SILENCE: u32 = 4;
+const GAP_FACTOR: u32 = 4;
 /// The same in multiples of the target latency, before the first event.
-const FIRST_SILENCE: u32 = 3;
+const FIRST_EVENT_FACTOR: u32 = 3;
 /// Least silence that counts.
-const LEAST_SILENCE: Duration = Duration::from_millis(900);
+const MIN_STREAM_TIMEOUT: Duration = Duration::from_millis(900);
 
 #[derive(Debug)]
-struct Relay<E: Edge> {
+struct StreamForwarder<E: Edge> {
     job: Job<E>,
-    source: Option<Source<E>>,
-    cutter: EventSplitter,
-    began: bool,
+    source: Option<TargetStream<E>>,
+    splitter: EventSplitter,
+    has_started: bool,
 }
 
-enum Next {
-    Piece(Bytes),
+enum Chunk {
+    Data(Bytes),
     End,
-    Broken(Break),
+    Broken(StreamFailure),
 }
 
 /// Why a target's stream can't go on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Break {
+enum StreamFailure {
     /// Its connection ended.
-    Cut(&'static str),
+    Interrupted(&'static str),
     /// It is connected and useless.
-    Useless(&'static str),
+    Unusable(&'static str),
 }
 
-impl Break {
-    const fn why(self) -> &'static str {
+impl StreamFailure {
+    const fn reason(self) -> &'static str {
         match self {
-            Self::Cut(why) | Self::Useless(why) => why,
+            Self::Interrupted(reason) | Self::Unusable(reason) => reason,
         }
     }
 }
 
-/// The answer to the caller; its events come as the target makes them.
-pub(super) fn relay<E: Edge>(job: Job<E>, answer: Answer<E>) -> Response<AnswerBody> {
-    let (parts, source) = answer.into_stream();
-    let cutter = EventSplitter::new(job.call.resume_after);
-    let mut res = job.pass(&parts, super::refuse::whole(Bytes::new()));
-    let relay = Relay {
+/// The response to the caller; its events come as the target makes them.
+pub(super) fn forward<E: Edge>(job: Job<E>, response: TargetResponse<E>) -> Response<ResponseBody> {
+    let (parts, source) = response.into_stream();
+    let splitter = EventSplitter::new(job.call.resume_after);
+    let mut res = job.forward_response(&parts, super::local_response::full_body(Bytes::new()));
+    let forwarder = StreamForwarder {
         job,
         source: Some(source),
-        cutter,
-        began: false,
+        splitter,
+        has_started: false,
     };
-    let frames = unfold(Some(relay), |relay| async move {
-        let mut relay = relay?;
-        match relay.next().await {
-            Ok(Some(events)) => Some((Ok(Frame::data(events)), Some(relay))),
+    let frames = unfold(Some(forwarder), |forwarder| async move {
+        let mut forwarder = forwarder?;
+        match forwarder.next().await {
+            Ok(Some(events)) => Some((Ok(Frame::data(events)), Some(forwarder))),
             Ok(None) => None,
             Err(err) => Some((Err(err), None)),
         }
@@ -80,116 +80,126 @@
     res
 }
 
-impl<E: Edge> Relay<E> {
+impl<E: Edge> StreamForwarder<E> {
     /// The next events; none at the end.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
-            let broken = match self.pull().await {
-                Next::Piece(piece) => match self.cutter.push(&piece) {
+            let failure = match self.next_chunk().await {
+                Chunk::Data(data) => match self.splitter.push(&data) {
                     SplitResult::Events(events) if events.is_empty() => continue,
                     SplitResult::Events(events) => {
-                        self.note_event();
+                        self.record_event();
                         return Ok(Some(events));
                     }
-                    SplitResult::Invalid => Break::Useless("events out of order"),
+                    SplitResult::Invalid => StreamFailure::Unusable("events out of order"),
                 },
-                Next::End if self.cutter.is_mid_event() => {
-                    Break::Cut("the stream ended in an event")
+                Chunk::End if self.splitter.is_mid_event() => {
+                    StreamFailure::Interrupted("the stream ended in an event")
                 }
-                Next::End if !self.began => Break::Cut("the stream ended before its first event"),
-                Next::End => {
+                Chunk::End if !self.has_started => {
+                    StreamFailure::Interrupted("the stream ended before its first event")
+                }
+                Chunk::End => {
                     if let Some(source) = self.source.take() {
                         source.finish();
-                        self.job.note_served();
+                        self.job.record_served();
                     }
                     return Ok(None);
                 }
-                Next::Broken(broken) => broken,
+                Chunk::Broken(failure) => failure,
             };
-            self.go_on(broken).await?;
+            self.resume(failure).await?;
         }
     }
 
-    fn note_event(&mut self) {
-        let first = !std::mem::replace(&mut self.began, true);
+    fn record_event(&mut self) {
+        let first = !std::mem::replace(&mut self.has_started, true);
         if let Some(source) = &mut self.source
             && first
         {
-            let age = source.flight.age();
-            source.flight.met(TargetOutcome::Answer(age));
+            let age = source.in_flight.age();
+            source.in_flight.record_outcome(TargetOutcome::Answer(age));
         }
     }
 
-    fn silence(&self) -> Duration {
+    fn read_timeout(&self) -> Duration {
         let route = self.job.ticket.route();
-        let left = self.job.left();
-        if !self.job.may_repeat() {
-            return left;
+        let time_left = self.job.time_left();
+        if !self.job.may_retry() {
+            return time_left;
         }
-        let gap = route.target_gap.unwrap_or(route.target_latency) * SILENCE;
-        let first = route.target_latency * FIRST_SILENCE;
-        let span = if self.began { gap } else { gap.max(first) };
-        span.max(LEAST_SILENCE).min(left)
+        let gap = route.target_gap.unwrap_or(route.target_latency) * GAP_FACTOR;
+        let first = route.target_latency * FIRST_EVENT_FACTOR;
+        let span = if self.has_started {
+            gap
+        } else {
+            gap.max(first)
+        };
+        span.max(MIN_STREAM_TIMEOUT).min(time_left)
     }
 
-    async fn pull(&mut self) -> Next {
-        let silence = self.silence();
+    async fn next_chunk(&mut self) -> Chunk {
+        let read_timeout = self.read_timeout();
         let Some(source) = &mut self.source else {
-            return Next::Broken(Break::Useless("no target"));
+            return Chunk::Broken(StreamFailure::Unusable("no target"));
         };
-        let frame = tokio::time::timeout(silence, source.body.frame()).await;
+        let frame = tokio::time::timeout(read_timeout, source.body.frame()).await;
         match frame {
             Ok(Some(Ok(frame))) => match frame.into_data() {
-                Ok(piece) => Next::Piece(piece),
-                Err(_trailers) => Next::Piece(Bytes::new()),
+                Ok(data) => Chunk::Data(data),
+                Err(_trailers) => Chunk::Data(Bytes::new()),
             },
-            Ok(Some(Err(_cut))) => Next::Broken(Break::Cut("the target broke off")),
-            Ok(None) => Next::End,
-            Err(_elapsed) => Next::Broken(Break::Useless("the target fell silent")),
+            Ok(Some(Err(_cut))) => {
+                Chunk::Broken(StreamFailure::Interrupted("the target broke off"))
+            }
+            Ok(None) => Chunk::End,
+            Err(_elapsed) => Chunk::Broken(StreamFailure::Unusable("the target fell silent")),
         }
     }
 
     /// Finds another target that goes on after the last event that the caller has.
-    async fn go_on(&mut self, broken: Break) -> io::Result<()> {
-        let why = broken.why();
+    async fn resume(&mut self, failure: StreamFailure) -> io::Result<()> {
+        let reason = failure.reason();
         let mut target = String::new();
         if let Some(mut source) = self.source.take() {
-            source.flight.failed();
-            target = source.flight.target.to_string();
-            self.job.tried.push(source.flight.target.clone());
-            let (id, ran) = (source.flight.target.clone(), source.flight.ran());
+            source.in_flight.record_failure();
+            target = source.in_flight.target.to_string();
+            self.job.tried.push(source.in_flight.target.clone());
+            let (id, run_time) = (source.in_flight.target.clone(), source.in_flight.run_time());
             // Its connection is closed: the target stops before another begins.
             drop(source);
-            if let Break::Cut(_) = broken {
-                self.job.note_cut(&id, CutShort::broken(ran)).await;
+            if let StreamFailure::Interrupted(_) = failure {
+                self.job
+                    .check_for_crash(&id, FailedRun::broken(run_time))
+                    .await;
             }
         }
-        self.cutter.drop_partial();
+        self.splitter.drop_partial();
         let last = self
-            .cutter
+            .splitter
             .last_id()
             .map_or("none".into(), |id| id.to_string());
         let id = self.job.call.id.clone();
         let fields = [
             ("request", &*id),
             ("target", &target),
-            ("cause", why),
+            ("cause", reason),
             ("last_event", &last),
         ];
-        if !self.job.may_repeat() {
+        if !self.job.may_retry() {
             event(LogEvent::StreamBroken, &fields);
-            return Err(io::Error::other(why));
+            return Err(io::Error::other(reason));
         }
-        self.job.call.resume_after = self.cutter.last_id();
-        match self.job.find().await {
-            Found::Answer(answer) if answer.parts.status.is_success() => {
+        self.job.call.resume_after = self.splitter.last_id();
+        match self.job.find_response().await {
+            SearchOutcome::Response(response) if response.parts.status.is_success() => {
                 event(LogEvent::StreamResumed, &fields);
-                self.source = Some(answer.into_stream().1);
+                self.source = Some(response.into_stream().1);
                 Ok(())
             }
             _ => {
                 event(LogEvent::StreamBroken, &fields);
-                Err(io::Error::other(why))
+                Err(io::Error::other(reason))
             }
         }
     }
--- a/crates/gateway/src/net/sync.rs
+++ b/crates/gateway/src/net/sync.rs
@@ -15,18 +15,18 @@
 use super::node::Node;
 
 /// First and longest pause between tries to register.
-const REGISTER_PAUSE: [Duration; 2] = [Duration::from_millis(150), Duration::from_secs(1)];
+const REGISTER_BACKOFF: [Duration; 2] = [Duration::from_millis(150), Duration::from_secs(1)];
 
 /// Takes in a list or changes of one kind.
-pub(super) fn apply<E: Edge>(node: &Node<E>, kind: Kind, listing: Listing, whole: bool) {
+pub(super) fn apply<E: Edge>(node: &Node<E>, kind: Kind, listing: Listing, is_full_list: bool) {
     let revision = listing.revision;
-    if whole && kind == Kind::Targets {
+    if is_full_list && kind == Kind::Targets {
         let targets = listing.objects.into_iter().filter_map(target_of).collect();
         replace_targets(node, targets, revision);
         return;
     }
     // A list doesn't say since when its objects are there.
-    let age = if whole {
+    let age = if is_full_list {
         MAX_ANNOUNCEMENT_AGE
     } else {
         Duration::ZERO
@@ -44,14 +44,14 @@
     match object.content? {
         Content::Target(target) => Some(*target),
         Content::Malformed(cause) => {
-            tell_malformed(&object.name, &cause);
+            log_malformed(&object.name, &cause);
             None
         }
         _ => None,
     }
 }
 
-fn tell_malformed(name: &str, cause: &str) {
+fn log_malformed(name: &str, cause: &str) {
     event(
         LogEvent::ObjectMalformed,
         &[("object", name), ("cause", cause)],
@@ -81,10 +81,10 @@
         return;
     }
     match content {
-        Some(Content::Config(config)) => adopt(node, *config),
-        Some(Content::Target(target)) => put_target(node, *target, revision),
-        Some(Content::AdapterVersion(news)) => {
-            announce(node, &news, age, "store");
+        Some(Content::Config(config)) => adopt_config(node, *config),
+        Some(Content::Target(target)) => apply_target(node, *target, revision),
+        Some(Content::AdapterVersion(announcement)) => {
+            announce(node, &announcement, age, "store");
         }
         Some(Content::Member(member)) => {
             let mut tables = node.tables();
@@ -93,15 +93,17 @@
             }
         }
         Some(Content::Malformed(cause)) => {
-            tell_malformed(&name, &cause);
+            log_malformed(&name, &cause);
             if kind == Kind::Targets {
                 remove(node, kind, &name, revision);
             }
         }
-        Some(Content::Verdict(verdict)) => {
+        Some(Content::Verdict(decision)) => {
             let now = node.now();
             // The store doesn't say how old it is.
-            node.tables().quarantine.adopt(verdict, Duration::ZERO, now);
+            node.tables()
+                .quarantine
+                .adopt(decision, Duration::ZERO, now);
         }
         Some(Content::Lease(_)) | None => {}
     }
@@ -125,7 +127,7 @@
     }
 }
 
-pub(super) fn adopt<E: Edge>(node: &Node<E>, config: crate::decide::config::Config) {
+pub(super) fn adopt_config<E: Edge>(node: &Node<E>, config: crate::decide::config::Config) {
     let version = config.version.to_string();
     let now = node.now();
     if node.tables().adopt(config, now) {
@@ -134,41 +136,44 @@
     }
 }
 
-/// Takes in a version announced `age` ago and says where the news came `from`, the store or a peer.
+/// Takes in a version announced `age` ago and says where the news came `source`, the store or a peer.
 pub(super) fn announce<E: Edge>(
     node: &Node<E>,
-    news: &VersionedAdapter,
+    announcement: &VersionedAdapter,
     age: Duration,
-    from: &str,
+    source: &str,
 ) {
     let now = node.now();
-    if !node.tables().versions.announce(news, age, now) {
+    if !node.tables().versions.announce(announcement, age, now) {
         return;
     }
-    let [adapter, version] = [news.key.to_string(), news.version.to_string()];
+    let [adapter, version] = [
+        announcement.key.to_string(),
+        announcement.version.to_string(),
+    ];
     let age = age.as_millis().to_string();
     let fields = [
         ("adapter", &*adapter),
         ("version", &*version),
-        ("from", from),
+        ("from", source),
         ("age_ms", &*age),
     ];
     event(LogEvent::VersionAnnounced, &fields);
     node.loader_work.notify_waiters();
 }
 
-fn put_target<E: Edge>(node: &Node<E>, target: Target, revision: Revision) {
+fn apply_target<E: Edge>(node: &Node<E>, target: Target, revision: Revision) {
     let now = node.now();
     let mut tables = node.tables();
-    let before = tables.registry.get(&target.id);
-    let told = match before {
+    let previous = tables.registry.get(&target.id);
+    let log_event = match previous {
         None => Some(LogEvent::TargetAdded),
-        Some(before) if !before.leaving && target.leaving => Some(LogEvent::TargetLeaving),
+        Some(previous) if !previous.leaving && target.leaving => Some(LogEvent::TargetLeaving),
         Some(_) => None,
     };
-    if let Some(told) = told {
+    if let Some(log_event) = log_event {
         let [id, address] = [target.id.to_string(), target.address.to_string()];
-        event(told, &[("target", &id), ("address", &address)]);
+        event(log_event, &[("target", &id), ("address", &address)]);
     }
     tables.residency.apply_registration(&target, now);
     tables.registry.put(target, revision, now);
@@ -179,20 +184,23 @@
     let member = node.settings.member.clone();
     let name = member.name.to_string();
     let content = Content::Member(Box::new(member));
-    let mut pause = REGISTER_PAUSE[0];
-    let mut at = None;
-    while !node.stopping() {
-        let written = node.store.write(Kind::Members, &name, at, &content).await;
-        node.register_tried();
+    let mut backoff = REGISTER_BACKOFF[0];
+    let mut expected_revision = None;
+    while !node.is_stopping() {
+        let written = node
+            .store
+            .write(Kind::Members, &name, expected_revision, &content)
+            .await;
+        node.mark_registration_tried();
         match written {
             Ok(_revision) => return,
             Err(StoreError::Conflict) => {
-                let before = node.store.read(Kind::Members, &name).await;
-                at = before.ok().flatten().map(|object| object.revision);
+                let previous = node.store.read(Kind::Members, &name).await;
+                expected_revision = previous.ok().flatten().map(|object| object.revision);
             }
-            Err(_away) => {
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(REGISTER_PAUSE[1]);
+            Err(_unavailable) => {
+                tokio::time::sleep(backoff).await;
+                backoff = (backoff * 2).min(REGISTER_BACKOFF[1]);
             }
         }
     }
--- a/crates/gateway/src/packet.rs
+++ b/crates/gateway/src/packet.rs
@@ -21,23 +21,23 @@
     /// How instances are.
     Exchange(Message),
     /// Requests wait for adapters on an engine; goes to the holder of its shard.
-    Wishes(Vec<Wish>),
+    AdapterRequests(Vec<AdapterRequest>),
     /// What engines hold; from the holder of their shard.
-    Holdings(Vec<Holdings>),
+    ResidencyUpdates(Vec<ResidencyUpdate>),
     /// Requests under which targets end.
     Quarantine(Vec<QuarantineMessage>),
 }
 
 /// First byte of a datagram. It tells the form; another release that changes the form changes it, and
 /// neither misreads the other.
-const FORM: u8 = 0xB3;
+const FORMAT: u8 = 0xB3;
 
 /// Why a datagram isn't read.
 #[derive(Debug, thiserror::Error)]
 pub enum PacketError {
     /// Another release speaks, or another program.
     #[error("another form ({0:#04x}): instances of two releases run beside each other")]
-    OtherForm(u8),
+    OtherFormat(u8),
     /// It is cut or spoilt.
     #[error("{0}: it is cut or spoilt; the next round repeats it")]
     Malformed(#[from] bincode::Error),
@@ -54,7 +54,7 @@
     ///
     /// It is longer than a datagram may be.
     pub fn encode(&self) -> Result<Vec<u8>, PacketError> {
-        let mut buf = vec![FORM];
+        let mut buf = vec![FORMAT];
         codec().serialize_into(&mut buf, self)?;
         Ok(buf)
     }
@@ -66,8 +66,10 @@
     /// It is of another form, or malformed.
     pub fn decode(buf: &[u8]) -> Result<Self, PacketError> {
         match buf.split_first() {
-            Some((&FORM, rest)) => Ok(codec().deserialize(rest)?),
-            first => Err(PacketError::OtherForm(first.map_or(0, |(form, _)| *form))),
+            Some((&FORMAT, rest)) => Ok(codec().deserialize(rest)?),
+            first => Err(PacketError::OtherFormat(
+                first.map_or(0, |(format, _)| *format),
+            )),
         }
     }
 
@@ -76,8 +78,8 @@
     pub const fn name(&self) -> &'static str {
         match self {
             Self::Exchange(message) => message.name(),
-            Self::Wishes(_) => "wishes",
-            Self::Holdings(_) => "holdings",
+            Self::AdapterRequests(_) => "wishes",
+            Self::ResidencyUpdates(_) => "holdings",
             Self::Quarantine(_) => "quarantine",
         }
     }
@@ -85,22 +87,22 @@
 
 /// A wish for an adapter on an engine, or news of its use.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Wish {
+pub struct AdapterRequest {
     /// The engine.
     pub target: TargetId,
     /// The adapter.
     pub key: AdapterKey,
     /// Why.
-    pub kind: WishKind,
+    pub kind: AdapterRequestKind,
 }
 
 /// What is said of an adapter on an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum WishKind {
+pub enum AdapterRequestKind {
     /// A request waits for it, at this version or newer.
     Load(Option<AdapterVersion>),
     /// A request was sent to it.
-    Begun,
+    Started,
     /// A request that was sent to it is over.
     Ended,
     /// The engine said that it doesn't hold it.
@@ -108,15 +110,15 @@
 }
 
 /// Encoded bytes of an adapter beside its name: the name's length and the version.
-const LENGTH_AND_VERSION: usize = 12;
+const ADAPTER_OVERHEAD_BYTES: usize = 12;
 /// Encoded bytes of the lengths of a model's name and of its list.
-const LENGTHS: usize = 16;
+const MODEL_OVERHEAD_BYTES: usize = 16;
 /// Encoded bytes of a word's order and of the lengths of its name and list.
-const WORD_HEAD: usize = 32;
+const UPDATE_OVERHEAD_BYTES: usize = 32;
 
 /// What an engine holds, by its loader.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Holdings {
+pub struct ResidencyUpdate {
     /// The engine.
     pub target: TargetId,
     /// Place among all such words on this engine.
@@ -125,20 +127,20 @@
     pub models: Vec<(BaseModel, Vec<(AdapterId, u32)>)>,
 }
 
-impl Holdings {
+impl ResidencyUpdate {
     /// Packs the adapters of an engine.
     #[must_use]
     pub fn new(target: TargetId, order: ResidencyVersion, adapters: Vec<VersionedAdapter>) -> Self {
         let mut models = Vec::<(BaseModel, Vec<_>)>::new();
-        for held in adapters {
-            let version = u32::try_from(held.version.0).unwrap_or(u32::MAX);
-            let adapter = (held.key.adapter, version);
+        for resident in adapters {
+            let version = u32::try_from(resident.version.0).unwrap_or(u32::MAX);
+            let adapter = (resident.key.adapter, version);
             match models
                 .iter_mut()
-                .find(|(model, _)| *model == held.key.model)
+                .find(|(model, _)| *model == resident.key.model)
             {
                 Some((_, adapters)) => adapters.push(adapter),
-                None => models.push((held.key.model, vec![adapter])),
+                None => models.push((resident.key.model, vec![adapter])),
             }
         }
         Self {
@@ -153,10 +155,11 @@
     pub fn estimated_bytes(&self) -> usize {
         let models = self.models.iter().map(|(model, adapters)| {
             let adapters = adapters.iter();
-            let adapters = adapters.map(|(adapter, _)| adapter.as_str().len() + LENGTH_AND_VERSION);
-            model.as_str().len() + LENGTHS + adapters.sum::<usize>()
+            let adapters =
+                adapters.map(|(adapter, _)| adapter.as_str().len() + ADAPTER_OVERHEAD_BYTES);
+            model.as_str().len() + MODEL_OVERHEAD_BYTES + adapters.sum::<usize>()
         });
-        self.target.as_str().len() + WORD_HEAD + models.sum::<usize>()
+        self.target.as_str().len() + UPDATE_OVERHEAD_BYTES + models.sum::<usize>()
     }
 
     /// The adapters, unpacked.
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -31,7 +31,7 @@
     /// Limit on repeats.
     pub retry_budget: RetryBudget,
     /// Time between the order to stop and the kill.
-    pub stop_within: Duration,
+    pub stop_timeout: Duration,
     /// How long callers may keep a list of addresses.
-    pub keep_addresses: Duration,
+    pub address_ttl: Duration,
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -198,8 +198,8 @@
         terms: Terms {
             seeds: Vec::new(),
             retry_budget: retry_budget(),
-            stop_within: Duration::from_secs(8),
-            keep_addresses: Duration::from_secs(1),
+            stop_timeout: Duration::from_secs(8),
+            address_ttl: Duration::from_secs(1),
         },
     }
 }
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -10,7 +10,7 @@
 use bluebellstage_gateway::decide::peers::Member;
 use bluebellstage_gateway::decide::target::Target;
 use bluebellstage_gateway::edge::{
-    BadCall, Content, Edge, Kind, Listing, Object, ObjectStore, Protocol, SettingsSource,
+    BadRequest, Content, Edge, Kind, Listing, Object, ObjectStore, Protocol, SettingsSource,
 };
 use bluebellstage_gateway::error::{GatewayError, StoreError};
 use bluebellstage_gateway::net::run::run;
@@ -209,7 +209,7 @@
 pub struct NoTraffic;
 
 impl Protocol for NoTraffic {
-    fn call(&self, _head: &request::Parts) -> Result<Call, BadCall> {
+    fn call(&self, _head: &request::Parts) -> Result<Call, BadRequest> {
         unreachable!("there are no callers")
     }
 
@@ -217,15 +217,15 @@
         unreachable!("there are no callers")
     }
 
-    fn answer_head(&self, _head: &response::Parts) -> ResponseHead {
+    fn response_head(&self, _head: &response::Parts) -> ResponseHead {
         unreachable!("there are no targets")
     }
 
-    fn answer_headers(&self, _head: &response::Parts) -> HeaderMap {
+    fn response_headers(&self, _head: &response::Parts) -> HeaderMap {
         unreachable!("there are no targets")
     }
 
-    fn own_body(&self, _message: &str) -> Bytes {
+    fn error_body(&self, _message: &str) -> Bytes {
         Bytes::new()
     }
 
@@ -247,7 +247,7 @@
         unreachable!("there are no engines")
     }
 
-    fn order_answer(&self, _status: StatusCode) -> OrderOutcome {
+    fn order_outcome(&self, _status: StatusCode) -> OrderOutcome {
         unreachable!("there are no engines")
     }
 
@@ -255,7 +255,7 @@
         None
     }
 
-    fn resolved(&self, _addresses: &[std::net::SocketAddr], _keep: Duration) -> Bytes {
+    fn resolve_body(&self, _addresses: &[std::net::SocketAddr], _keep: Duration) -> Bytes {
         Bytes::new()
     }
 
