--- a/crates/gateway/src/net/accept.rs
+++ b/crates/gateway/src/net/accept.rs
@@ -20,9 +20,9 @@
 use super::node::Node;
 use super::sockets::set_options;
 
-/// Pause after a connection that could not be accepted, as when descriptors run out.
+/// Delay after a connection could not be accepted, for example when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Pause between looks at a connection's idle time.
+/// Interval of the checks of a connection's idle time.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Which requests a listener serves.
@@ -30,13 +30,13 @@
 pub(super) enum ListenerKind {
     /// Callers' requests.
     Front,
-    /// Questions of callers and the platform.
+    /// Address lookups of callers and readiness checks of the platform.
     Directory,
-    /// Questions of peers.
+    /// Requests of peers and operators.
     Control,
 }
 
-/// Serves connections until the process ends.
+/// Accepts and serves connections until the process ends.
 pub(super) async fn serve<E: Edge>(
     node: Arc<Node<E>>,
     listener: TcpListener,
@@ -56,11 +56,11 @@
     }
 }
 
-/// What goes on on a connection.
+/// Requests in progress on a connection, and its idle time.
 #[derive(Debug, Default)]
 struct Activity {
     open_requests: AtomicUsize,
-    /// Milliseconds of the process's clock when the last answer ended.
+    /// When the last response ended, in milliseconds of [`Node::now`].
     idle_since: AtomicU64,
 }
 
@@ -97,7 +97,7 @@
     loop {
         let tick = tokio::time::sleep(IDLE_CHECK_INTERVAL);
         tokio::select! {
-            // A broken connection has nobody left to tell; its request logged what it met.
+            // The caller of a broken connection can't be notified. Its request logged the failure.
             _ended = serving.as_mut() => break,
             () = tick => {}
             () = node.stop.notified(), if !is_shutting_down => {}
@@ -154,7 +154,7 @@
     }
 }
 
-/// A body that marks its connection as busy until it is sent.
+/// A response body that marks its connection as active until it is sent.
 struct GuardedBody<E: Edge> {
     body: ResponseBody,
     _guard: ActivityGuard<E>,
--- a/crates/gateway/src/net/attempt.rs
+++ b/crates/gateway/src/net/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one target.
+//! Sends one attempt of a request to one target.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,23 +23,23 @@
 use super::pool::Connection;
 use super::sockets::connect;
 
-/// Time for a connection; a full queue of new connections would cost a second.
+/// Timeout for a connection. If the target's accept queue is full, the SYN is resent only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest answer that is read whole before it goes on.
+/// Max size of a response body that is buffered before it is forwarded.
 const MAX_BUFFERED_BYTES: usize = 4 * 1_024 * 1_024;
 
-/// Counts a request at a target while it is there.
+/// Counts a request as in flight at a target until it is dropped.
 #[derive(Debug)]
 pub(super) struct InFlight<E: Edge> {
     node: Arc<Node<E>>,
     pub(super) target: TargetId,
     adapter: Option<AdapterKey>,
-    /// Its place in the engine's queue; none once it has begun, and at plain targets.
+    /// Its entry in the engine's queue; `None` once the request has started, and at plain targets.
     waiting: Option<WaitingKey>,
     sent: Time,
-    /// The request was on a target that ended.
+    /// The request was in flight at a target that crashed.
     suspect: bool,
-    /// When it began to answer.
+    /// When the target began to respond.
     responding_since: Option<Time>,
     is_outcome_recorded: bool,
 }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The engine has begun: it answers with the first event.
+    /// Records that the engine has started the request. Engines send the response head with the first event.
     fn record_started(&mut self) {
         self.responding_since = Some(self.node.now());
         if let Some(waiting) = self.waiting.take() {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Notes what the request met; the first word counts.
+    /// Records the outcome of the request; only the first outcome counts.
     pub(super) fn record_outcome(&mut self, outcome: TargetOutcome) {
         if std::mem::replace(&mut self.is_outcome_recorded, true) {
             return;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Notes a failure, also after a good beginning.
+    /// Records a failure, even if an outcome was recorded before.
     pub(super) fn record_failure(&mut self) {
         self.is_outcome_recorded = true;
         self.apply_outcome(TargetOutcome::Failure);
@@ -139,7 +139,7 @@
         self.node.now().since(self.sent)
     }
 
-    /// Time since the target began to answer, or since the request was sent if it did not.
+    /// Time since the target began to respond, or since the request was sent if it did not respond.
     pub(super) fn run_time(&self) -> Duration {
         let since = self.responding_since.unwrap_or(self.sent);
         self.node.now().since(since)
@@ -164,7 +164,7 @@
     }
 }
 
-/// An answer whose body is still to come.
+/// A response of a target whose body has not been read.
 #[derive(Debug)]
 pub(super) struct TargetResponse<E: Edge> {
     pub(super) parts: response::Parts,
@@ -174,29 +174,29 @@
     connection: Connection,
 }
 
-/// Why an attempt failed though it may have run.
+/// Why an attempt failed that may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Failure {
     /// The connection broke.
     Broken,
-    /// No answer in time.
+    /// No response before the timeout.
     Silent,
-    /// It had not begun when its adapter's version went out of date.
+    /// The request had not started when its adapter's version became outdated.
     Outdated,
-    /// An answer that isn't the target's own, or belongs to another request.
+    /// The response is not from the target, or belongs to another request.
     WrongAnswer,
 }
 
-/// An answer that did not come whole.
+/// A run whose response was incomplete or missing.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FailedRun {
     pub(super) failure: Failure,
-    /// How long it may have run.
+    /// How long the request may have run.
     pub(super) run_time: Duration,
 }
 
 impl FailedRun {
-    /// A connection that broke after so long.
+    /// Returns a run whose connection broke after `run_time`.
     pub(super) const fn broken(run_time: Duration) -> Self {
         Self {
             failure: Failure::Broken,
@@ -205,38 +205,38 @@
     }
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug)]
 pub(super) enum Attempt<E: Edge> {
-    /// The target answers.
+    /// The target responded.
     Response(Box<TargetResponse<E>>),
-    /// The target says that it did not run the request; `misdirected`: it isn't the one that was
-    /// meant, or doesn't hold what was asked for.
+    /// The target reports that it did not run the request. With `misdirected`, it is not the
+    /// requested target or does not have the requested adapter.
     NotRun { misdirected: bool },
-    /// There is no connection: nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     Unreachable,
-    /// It may have run.
+    /// The attempt failed and may have run.
     Failed(FailedRun),
 }
 
-/// What is sent.
+/// Parameters of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendParams<'a> {
     pub(super) head: &'a request::Parts,
     pub(super) body: &'a Bytes,
     pub(super) call: &'a Call,
-    /// Use a kept connection.
+    /// Whether a pooled connection may be used.
     pub(super) reuse: bool,
     pub(super) trial: bool,
-    /// The request was on a target that ended.
+    /// The request was in flight at a target that crashed.
     pub(super) suspect: bool,
-    /// The adapter's version that is asked for.
+    /// The requested version of the adapter.
     pub(super) version: Option<AdapterVersion>,
-    /// Longest wait for the head of the answer.
+    /// Max wait for the response head.
     pub(super) max_wait: Duration,
 }
 
-/// Sends a request to a target and waits for the head of its answer.
+/// Sends a request to a target and waits for the response head.
 pub(super) async fn send<E: Edge>(
     node: &Arc<Node<E>>,
     target: &TargetId,
@@ -264,7 +264,7 @@
     match outcome {
         Exchange::Response(parts, body, connection) => {
             let head = node.protocol.response_head(&parts);
-            // A refusal may lack what an answer says.
+            // A target that did not run the request may leave the limit out of its response.
             if !(head.not_run && head.limit == ReportedLimit::Unlimited) {
                 record_limit(node, target, head.limit, in_flight.sent);
             }
@@ -284,7 +284,7 @@
     }
 }
 
-/// Takes in what the answer to a request that was `sent` then says of its target's limit.
+/// Records the limit that a target reported in its response to a request that was sent at `sent`.
 fn record_limit<E: Edge>(node: &Node<E>, target: &TargetId, reported: ReportedLimit, sent: Time) {
     let now = node.now();
     let change = node
@@ -305,10 +305,10 @@
     }
 }
 
-/// Pause between looks whether a newer version was announced for a request that waits.
+/// Interval of the checks whether a newer version was announced while a request waits.
 const VERSION_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Ends when the request must not begin any more, as its adapter's version is out of date.
+/// Returns when the request must not start any more because its adapter's version is outdated.
 async fn wait_until_outdated<E: Edge>(node: &Node<E>, params: SendParams<'_>) {
     let (Some(key), Some(version)) = (Tables::adapter_of(params.call), params.version) else {
         return std::future::pending().await;
@@ -325,7 +325,7 @@
     }
 }
 
-/// A target that was waited for shorter than this isn't blamed for its silence.
+/// A timeout counts as a failure of the target only if the max wait was longer than this.
 const MIN_BLAMED_WAIT: Duration = Duration::from_millis(200);
 
 fn classify_response<E: Edge>(
@@ -427,7 +427,7 @@
 }
 
 impl<E: Edge> TargetResponse<E> {
-    /// Reads the body whole; the connection is kept if it may be.
+    /// Reads the complete body, then returns the connection to the pool if it can be reused.
     pub(super) async fn collect(
         self,
         timeout: Duration,
@@ -460,7 +460,7 @@
         Err(FailedRun { failure, run_time })
     }
 
-    /// Splits the answer for streaming.
+    /// Splits the response into its head and its stream.
     pub(super) fn into_stream(self) -> (response::Parts, TargetStream<E>) {
         let source = TargetStream {
             head: self.head,
@@ -472,7 +472,7 @@
     }
 }
 
-/// The rest of a streamed answer.
+/// The body of a streamed response.
 #[derive(Debug)]
 pub(super) struct TargetStream<E: Edge> {
     head: ResponseHead,
@@ -482,7 +482,7 @@
 }
 
 impl<E: Edge> TargetStream<E> {
-    /// The stream ended as it should.
+    /// Handles the regular end of the stream: returns the connection to the pool.
     pub(super) fn finish(self) {
         return_to_pool(&self.in_flight, &self.head, self.connection);
     }
--- a/crates/gateway/src/net/batches.rs
+++ b/crates/gateway/src/net/batches.rs
@@ -1,9 +1,9 @@
-//! Packs what is to be told into as few datagrams as hold it.
+//! Packs messages into as few datagrams as possible.
 
-/// Bytes of one datagram.
+/// Max estimated bytes of the messages in one datagram.
 const BATCH_BYTES: usize = 6 * 1_024;
 
-/// Groups items by their estimated bytes; one that is longer than a datagram's share stands alone.
+/// Groups items by their estimated bytes; an item that is larger than `BATCH_BYTES` gets a batch of its own.
 pub(super) fn batches<T>(items: Vec<T>, bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut batches = Vec::<Vec<T>>::new();
     let mut remaining = 0;
--- a/crates/gateway/src/net/control.rs
+++ b/crates/gateway/src/net/control.rs
@@ -1,4 +1,5 @@
-//! Gives peers a copy of what the store told, and operators metrics and a dump of the state.
+//! Serves the control address: copies of the store's state for peers; metrics, a state dump and quarantine
+//! clearing for operators.
 
 use std::fmt;
 use std::sync::Arc;
@@ -22,29 +23,29 @@
 use super::node::Node;
 use super::quarantine;
 
-/// Path of the copy on the control address; another form of the copy gets another path, so that instances of
-/// two releases never misread each other.
+/// Path of the state copy on the control address. A change of the copy's format changes the path, so that
+/// instances of two releases never misread each other.
 pub(super) const COPY_PATH: &str = "/peer/copy/3";
 
-/// Path of the metrics, on the control address and on one of their own.
+/// Path of the metrics, on the control address and on the metrics address.
 const METRICS_PATH: &str = "/metrics";
 
-/// Path on which operators let a refused request through again; its fingerprint is the query.
+/// Path on which operators clear the quarantine of a request; the query is the request's fingerprint.
 const CLEAR_PATH: &str = "/quarantine/clear";
 
-/// Path of the state for operators, on the control address.
+/// Path of the state dump on the control address.
 const DUMP_PATH: &str = "/dump";
 
-/// What a peer has already, as the query of its question.
+/// State that a peer already has, sent as the query of its request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct KnownState {
     pub(super) config: Revision,
-    /// All news of targets up to this revision.
+    /// Revision up to which the peer has all changes of targets.
     pub(super) targets: Revision,
     pub(super) targets_digest: u32,
     pub(super) versions: u64,
     pub(super) verdicts_digest: u64,
-    /// It knows its peers.
+    /// Whether the peer knows the other instances.
     pub(super) members: bool,
 }
 
@@ -67,7 +68,7 @@
 }
 
 impl KnownState {
-    /// Reads the query; what it lacks is sent.
+    /// Parses the query. Missing or malformed parts count as zero, so the peer gets that state.
     fn parse(query: &str) -> Self {
         let mut parts = query
             .split('.')
@@ -84,8 +85,8 @@
     }
 }
 
-/// What the store told an instance, for peers that don't follow it; parts that the peer has are left
-/// out.
+/// State of the store as an instance knows it, for peers that do not follow the store. Parts that the
+/// peer already has are left out.
 #[derive(Debug, Default, Deserialize, Serialize)]
 pub(super) struct StateCopy {
     pub(super) config: Option<Config>,
@@ -95,7 +96,7 @@
     pub(super) members: Vec<Member>,
 }
 
-/// Answers a peer.
+/// Serves a request on the control address.
 pub(super) fn respond<E: Edge>(
     node: &Arc<Node<E>>,
     req: &Request<Incoming>,
@@ -127,7 +128,7 @@
     }
 }
 
-/// Lets a request through again that is refused because targets ended under it.
+/// Clears the quarantine of a request that is rejected because targets crashed under it.
 fn clear<E: Edge>(node: &Arc<Node<E>>, req: &Request<Incoming>) -> Response<ResponseBody> {
     let reply = |status, message: &str| error_response(&node.protocol, status, message, None);
     if req.method() != Method::POST {
@@ -163,8 +164,8 @@
     }
     if targets {
         let mut registry = tables.registry.copy_since(known.targets, now);
-        // What an engine holds changes all the time, and its loader tells it; one that starts has heard
-        // nothing of it.
+        // Resident adapters change all the time, and the engine's loader publishes them. Only a starting
+        // instance, which has received no updates yet, gets them here.
         let is_starting = known.targets == Revision::default();
         for (_, target) in &mut registry.targets {
             target.adapters.clear();
--- a/crates/gateway/src/net/crash_check.rs
+++ b/crates/gateway/src/net/crash_check.rs
@@ -1,7 +1,7 @@
-//! Finds out whether a target ended when runs on it were cut.
+//! Checks whether a target crashed when runs on it were interrupted.
 //!
-//! A broken connection alone doesn't tell: it may have been reset, or its link cut. A process that has ended
-//! refuses new connections.
+//! A broken connection alone is no proof of a crash: it may have been reset, or the network partitioned. A
+//! process that has ended refuses new connections.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -22,27 +22,27 @@
 use super::quarantine;
 use super::sockets::connect;
 
-/// Time for a connection that is to show whether the target ended.
+/// Timeout for the connection that shows whether the target crashed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time in which the other runs that were cut with the first one are gathered.
+/// Time during which the other runs that were interrupted with the first one are collected.
 const GATHER_DELAY: Duration = Duration::from_millis(8);
-/// Longest wait of a cut request until this is known.
+/// Max wait of an interrupted request for the result of the check.
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a look is remembered, for runs whose end is noticed late.
+/// How long a check is kept, for runs whose interruption is noticed late.
 const CHECK_RETENTION: Duration = Duration::from_secs(5);
-/// Fingerprints named in one log line.
+/// Max number of fingerprints in one log line.
 const MAX_LOGGED_FINGERPRINTS: usize = 80;
 
-/// What is known of a target on which runs were cut.
+/// Result of the check of a target on which runs were interrupted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum CheckResult {
-    /// It is being looked at.
+    /// The check is in progress.
     Pending,
-    /// Its process ended; the runs that it took with it are not judged yet.
+    /// The target's process ended; its interrupted runs are not evaluated yet.
     Crashed,
-    /// They are judged.
+    /// The target's process ended and its interrupted runs are evaluated.
     Evaluated,
-    /// It lives, or can't be told from one that does.
+    /// The target is alive, or can't be distinguished from a target that is alive.
     Alive,
 }
 
@@ -53,7 +53,7 @@
     result: watch::Sender<CheckResult>,
 }
 
-/// Looks at targets, by their lives.
+/// Crash checks by the incarnation of the target.
 #[derive(Debug, Default)]
 pub(super) struct CrashChecks {
     open: Mutex<HashMap<ShortHash, CrashCheck>>,
@@ -64,7 +64,7 @@
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs that were not told yet, and when the first one was cut.
+    /// Takes the interrupted runs that were not reported yet, and when the first run was interrupted.
     fn take_interrupted_runs(&self, incarnation: ShortHash) -> Option<(Vec<InterruptedRun>, Time)> {
         let mut open = self.lock();
         let check = open.get_mut(&incarnation)?;
@@ -76,30 +76,30 @@
         if let Some(check) = open.get(&incarnation) {
             check.result.send_replace(result);
         }
-        // One that lives may end later.
+        // A target that is alive may crash later and needs another check then.
         if result == CheckResult::Alive {
             open.remove(&incarnation);
         }
     }
 
-    /// Forgets what was found long ago.
+    /// Removes expired checks.
     pub(super) fn sweep(&self, now: Time) {
         self.lock()
             .retain(|_, check| now.since(check.started) < CHECK_RETENTION);
     }
 }
 
-/// A target that was serving.
+/// A target that was expected to serve.
 #[derive(Clone, Debug)]
 struct Serving {
     id: TargetId,
     incarnation: ShortHash,
     address: SocketAddr,
-    /// Targets of its service that live, this one included.
+    /// Number of live targets of its service, this target included.
     live_count: u32,
 }
 
-/// The target, if it was not to leave anyway: what leaves as planned cuts runs, too.
+/// Returns the target unless it is draining: a planned stop interrupts runs, too.
 fn serving<E: Edge>(node: &Node<E>, id: &TargetId) -> Option<Serving> {
     let tables = node.tables();
     let target = tables.registry.get(id).filter(|target| !target.leaving)?;
@@ -115,13 +115,14 @@
     })
 }
 
-/// Names this life of a target; one that doesn't say when it started has one.
+/// Identifies the target's incarnation. A target that does not report its start time has a single incarnation.
 fn incarnation(target: &Target) -> ShortHash {
     let incarnation = target.incarnation();
     incarnation.unwrap_or_else(|| ShortHash::of(target.id.as_str()))
 }
 
-/// A run was cut; returns when it is known, or can't soon be known, whether its target ended.
+/// Records an interrupted run. Returns when it is known whether the target crashed, or after
+/// `CRASH_CHECK_TIMEOUT`.
 pub(super) async fn record_interruption<E: Edge>(
     node: &Arc<Node<E>>,
     target: &TargetId,
@@ -134,7 +135,8 @@
     if *result.borrow() == CheckResult::Evaluated {
         report(node, &target);
     }
-    // A first end is no proof, so whoever has met no other need not wait for the judgement.
+    // A first crash does not quarantine a request, so a request without an earlier crash need not wait for the
+    // evaluation.
     let waits = |result: &CheckResult| match result {
         CheckResult::Pending => true,
         CheckResult::Crashed => {
@@ -149,7 +151,7 @@
     let _known_or_late = tokio::time::timeout(CRASH_CHECK_TIMEOUT, known).await;
 }
 
-/// Adds a run to those of a target's look, which begins with the first one.
+/// Adds a run to the check of a target; the first run starts the check.
 fn join<E: Edge>(
     node: &Arc<Node<E>>,
     target: &Serving,
@@ -196,7 +198,7 @@
     connected.is_err_and(|err| err.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Tells which runs the target took with it, those told before left out.
+/// Reports the runs that the target's crash interrupted and that were not reported before.
 fn report<E: Edge>(node: &Node<E>, target: &Serving) -> Vec<InterruptedRun> {
     let taken = node.crash_checks.take_interrupted_runs(target.incarnation);
     let Some((interrupted_runs, at)) =
--- a/crates/gateway/src/net/directory.rs
+++ b/crates/gateway/src/net/directory.rs
@@ -1,4 +1,4 @@
-//! Tells callers which addresses to use, and the platform whether the instance is ready.
+//! Serves address lookups of callers and readiness checks of the platform.
 
 use std::net::SocketAddr;
 
@@ -12,10 +12,10 @@
 use super::local_response::{ResponseBody, error_response, full_body, spread_retry_after};
 use super::node::Node;
 
-/// Most addresses in an answer; callers take no more.
+/// Max number of addresses in a response; callers ignore any more.
 const MAX_ADDRESSES: usize = 64;
 
-/// Answers a question of a caller or the platform.
+/// Serves an address lookup or a readiness check.
 pub(super) fn respond<E: Edge>(node: &Node<E>, req: &Request<Incoming>) -> Response<ResponseBody> {
     let (parts, ()) = {
         let mut head = Request::new(());
@@ -48,9 +48,10 @@
     res
 }
 
-/// Addresses of the ready instances in the caller's failure domain; of all if there are none.
+/// Returns the addresses of the ready instances in the caller's failure domain, or of all ready instances if
+/// there are none in it.
 ///
-/// A caller that connects within its failure domain pays no bytes between them.
+/// Traffic within a failure domain costs the caller nothing; traffic between failure domains is charged.
 fn addresses(tables: &Tables, failure_domain: Option<&str>, now: Time) -> Vec<SocketAddr> {
     let local = tables.ready().then_some(&tables.local);
     let peers = tables.peers.live(now).filter(|peer| peer.ready);
--- a/crates/gateway/src/net/follow.rs
+++ b/crates/gateway/src/net/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the store.
+//! Follows the store: lists objects and watches for changes.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -17,16 +17,16 @@
 use super::node::Node;
 use super::sync::apply;
 
-/// Pause between looks whether this instance is to follow the store.
+/// Interval of the checks whether this instance should follow the store.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// Factor of pauses after a failure, so that instances that were turned away together don't ask
-/// together again.
+/// Random factor of the backoff after a failure, so that instances that were rejected at the same time
+/// do not retry at the same time.
 const BACKOFF_JITTER: Range<f64> = 0.5..1.5;
 
-/// Follows one kind of objects until the process ends, whenever this instance is to.
+/// Follows one kind of objects until the process ends, while this instance is a follower of the store.
 pub(super) async fn run<E: Edge>(node: Arc<Node<E>>, kind: Kind) {
-    // Of two that start at once, the one that lists last finds the other one's registration, and makes
-    // itself known to it.
+    // Members are listed after the registration: of two instances that start at the same time, the one that
+    // lists last finds the registration of the other and announces itself to it.
     match kind {
         Kind::Members => node.wait_for_registration().await,
         _ => node.wait_for_peer_list().await,
@@ -35,7 +35,7 @@
     let mut is_store_lost = false;
     let mut last_logged = None;
     loop {
-        // Who the others are is listed once by each.
+        // Every instance lists the members once, whether it follows the store or not.
         if kind != Kind::Members || follower.after().is_some() {
             let is_following = is_followed(&node, kind);
             if last_logged.replace(is_following) != Some(is_following) {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Takes in what the store told; gives the pause until the next call.
+/// Applies the store's response; returns the delay until the next call.
 fn apply_listing<E: Edge>(node: &Node<E>, follower: &mut Follower, listing: Listing) -> Duration {
     let kind = follower.kind();
     if kind == Kind::Targets {
@@ -93,7 +93,7 @@
     delay
 }
 
-/// Notes a call that failed after so long; gives the pause until the next one.
+/// Records a call that failed after `took`; returns the delay until the next call.
 fn record_failure<E: Edge>(node: &Node<E>, follower: &mut Follower, took: Duration) -> Duration {
     if follower.kind() == Kind::Targets {
         let now = node.now();
@@ -102,7 +102,7 @@
     follower.record_failure(took, rand::rng().random_range(BACKOFF_JITTER))
 }
 
-/// Whether this instance follows the store now; the list of targets keeps since when.
+/// Returns whether this instance follows the store now, and records that for the registry of targets.
 fn is_followed<E: Edge>(node: &Node<E>, kind: Kind) -> bool {
     let now = node.now();
     let mut tables = node.tables();
@@ -132,7 +132,7 @@
     if yes { "true" } else { "false" }
 }
 
-/// Tells that a call has ended: how long it was open and with what outcome.
+/// Records and logs the end of a call: its duration and outcome.
 fn record_call_end<E: Edge>(
     node: &Node<E>,
     kind: Kind,
--- a/crates/gateway/src/net/front.rs
+++ b/crates/gateway/src/net/front.rs
@@ -1,4 +1,4 @@
-//! Serves callers' requests.
+//! Serves callers' requests: admission, choice of a target, retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,62 +27,62 @@
 use super::quarantine;
 use super::stream;
 
-/// Time kept back for our own answer to reach the caller before it gives up.
+/// Time reserved for a local response to reach the caller before the caller's timeout.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
-/// Least time left that makes an attempt worth sending.
+/// Minimum remaining time for which an attempt is sent.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(15);
-/// Why a request is refused that would stand in too long a queue.
+/// Message for a request that is rejected because it would wait in a queue for too long.
 pub(super) const TOO_LATE: &str = "engines would begin it too late: try again";
-/// Pause between looks for a free place at plain targets.
+/// Delay before another check for free capacity at plain targets.
 const FULL_RETRY_DELAY: Duration = Duration::from_millis(15);
-/// Wait for the first sign of a plain target, in multiples of the route's target latency, before a
-/// repeatable request goes elsewhere.
+/// Max wait for the response head of a plain target, as a multiple of the route's target latency, before a
+/// repeatable request is retried at another target.
 const PLAIN_WAIT_FACTOR: u32 = 3;
-/// The same for the first event of a stream.
+/// The same factor for the response head of a stream.
 const STREAM_WAIT_FACTOR: u32 = 3;
-/// Least of these waits.
+/// Minimum of these waits.
 const MIN_RESPONSE_WAIT: Duration = Duration::from_millis(250);
 
-/// A request with all that its attempts need.
+/// A request and the state that its attempts share.
 #[derive(Debug)]
 pub(super) struct Job<E: Edge> {
     pub(super) node: Arc<Node<E>>,
     pub(super) head: request::Parts,
     pub(super) body: Bytes,
     pub(super) call: Call,
-    /// What the request is known by when it comes again.
+    /// Identifies the request when it is sent again.
     pub(super) fingerprint: Fingerprint,
     pub(super) ticket: Ticket,
     pub(super) arrived: Time,
-    /// Targets that are out for this request.
+    /// Targets that are excluded for this request.
     pub(super) tried: Vec<TargetId>,
     /// Attempts that ran or may have run.
     pub(super) runs: u32,
     /// Attempts that were sent.
     pub(super) sends: u32,
-    /// Time for which its adapter was waited for.
+    /// Time spent waiting for the request's adapter.
     pub(super) load_waited: Duration,
-    /// The target of the last attempt, and when it was sent.
+    /// Target and send time of the last attempt.
     pub(super) last_send: Option<(TargetId, Time)>,
 }
 
-/// How the search for an answer ended.
+/// Outcome of the search for a target that responds.
 pub(super) enum SearchOutcome<E: Edge> {
-    /// A target answers.
+    /// A target responded.
     Response(Box<TargetResponse<E>>),
-    /// The request has not run and won't.
+    /// The request has not run and will not run.
     NotRun(&'static str),
-    /// The same: every engine that could run it would begin too late, by so much.
+    /// The request has not run: every engine that could run it would start it too late, by this duration.
     QueueTooLong(Duration),
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun(&'static str),
-    /// Targets end under it: it is not sent any more.
+    /// The request is quarantined because targets crash under it; it is not sent any more.
     Quarantined,
-    /// The time is up; it may have run.
+    /// The request timed out; it may have run.
     TimedOut,
 }
 
-/// Serves one request.
+/// Serves one request of a caller.
 pub(super) async fn serve<E: Edge>(
     node: Arc<Node<E>>,
     req: Request<Incoming>,
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The attempt that ran may be followed by another one.
+    /// Whether another attempt may follow the attempt that ran.
     pub(super) fn may_retry(&self) -> bool {
         let route = self.ticket.route();
         route.kind.repeatable()
@@ -203,7 +203,7 @@
             && self.time_left() > MIN_ATTEMPT_TIME
     }
 
-    /// Time left for the caller.
+    /// Remaining time before the caller's timeout, less the margin for the response.
     pub(super) fn time_left(&self) -> Duration {
         let route = self.ticket.route().timeout;
         let limit = self.call.timeout.map_or(route, |own| own.min(route));
@@ -211,7 +211,7 @@
         limit.saturating_sub(passed + RESPONSE_MARGIN)
     }
 
-    /// Finds a target that answers.
+    /// Sends the request to targets until one responds or no further attempt is possible.
     pub(super) async fn find_response(&mut self) -> SearchOutcome<E> {
         let route_latency = self.ticket.route().target_latency;
         let started = self.node.now();
@@ -240,7 +240,7 @@
                 Pick::Load(target) => {
                     match self.load_wait(started, now) {
                         LoadWaitAction::RequestLoad => {
-                            self.send_adapter_request(target, self.load_request())
+                            self.send_adapter_request(target, self.load_request());
                         }
                         LoadWaitAction::Wait => {}
                         LoadWaitAction::Refuse => {
@@ -386,7 +386,8 @@
             Attempt::NotRun { misdirected } => {
                 self.log_not_run(&target, misdirected);
                 if misdirected && Tables::adapter_of(&self.call).is_some() {
-                    // The adapter is late or was evicted: the engine itself may serve it yet.
+                    // The adapter is not loaded yet or was evicted. The engine may still serve the request
+                    // later, so it is not excluded.
                     self.record_missing_adapter(&target);
                 } else {
                     self.tried.push(target);
@@ -412,7 +413,7 @@
         }
     }
 
-    /// A run broke off: its target may have ended.
+    /// Checks whether the target crashed, if the failed run ended with a broken connection.
     pub(super) async fn check_for_crash(&self, target: &TargetId, failed_run: FailedRun) {
         if failed_run.failure != Failure::Broken {
             return;
@@ -421,7 +422,7 @@
         record_interruption(&self.node, target, run).await;
     }
 
-    /// A target answered it whole.
+    /// Records that a target sent a complete response.
     pub(super) fn record_served(&self) {
         quarantine::record_served(&self.node, self.fingerprint);
     }
--- a/crates/gateway/src/net/gossip.rs
+++ b/crates/gateway/src/net/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between instances: state in rounds, wishes for adapters, holdings of engines.
+//! Datagrams between instances: periodic state messages, adapter requests, residency updates.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,11 +20,13 @@
 use super::quarantine;
 use super::residency_updates;
 
-/// Rounds after the start in which an instance introduces itself to all: whoever missed it asks.
+/// Number of rounds after the start in which an instance announces itself to all instances. An instance that
+/// missed them asks for the announcement.
 const ANNOUNCEMENTS: u32 = 4;
-/// Rounds between these.
+/// Rounds between two announcements.
 const ANNOUNCE_INTERVAL_ROUNDS: u32 = 4;
-/// Pause between sends of wishes; a request that misses its adapter waits for it.
+/// Interval between sends of adapter requests. It is short because a request that misses its adapter waits
+/// for the send.
 const ADAPTER_REQUEST_INTERVAL: Duration = Duration::from_millis(4);
 
 /// Sends and receives datagrams until the process ends.
@@ -63,7 +65,7 @@
     }
 }
 
-/// Says when this instance begins or ends to relay.
+/// Logs when this instance starts or stops being a relay.
 fn log_role_change<E: Edge>(node: &Node<E>, before: Role) {
     let tables = node.tables();
     let role = tables.exchange.role();
@@ -77,7 +79,7 @@
     );
 }
 
-/// Tells all peers that this instance ends.
+/// Notifies all peers that this instance shuts down.
 pub(super) async fn send_shutdown<E: Edge>(node: &Node<E>, socket: &UdpSocket) {
     let OutgoingMessage { to, message } = node.tables().shutdown_message(node.now());
     send_all(node, socket, &Packet::Exchange(message), &to).await;
@@ -96,7 +98,7 @@
     };
     node.metrics.record_sent(packet.name(), to.len(), buf.len());
     for address in to {
-        // A datagram that can't be sent is like one that is lost on its way: the next round repeats it.
+        // A datagram that can't be sent is handled like a lost datagram: the next round repeats it.
         let _lost = socket.send_to(&buf, address).await;
     }
 }
@@ -130,16 +132,16 @@
 async fn send_adapter_requests<E: Edge>(node: &Node<E>) {
     loop {
         tokio::time::sleep(ADAPTER_REQUEST_INTERVAL).await;
-        let adapter_requests = node.take_adapter_requests();
-        if adapter_requests.is_empty() {
+        let requests = node.take_adapter_requests();
+        if requests.is_empty() {
             continue;
         }
         let mut by_holder = HashMap::<Option<InstanceId>, Vec<AdapterRequest>>::new();
         {
             let tables = node.tables();
             let now = node.now();
-            for adapter_request in adapter_requests {
-                let shard = shard_of(&adapter_request.target);
+            for req in requests {
+                let shard = shard_of(&req.target);
                 let holder = if tables.shards.contains(&shard) {
                     None
                 } else {
@@ -149,7 +151,7 @@
                     }
                 };
                 let batch = by_holder.entry(holder).or_default();
-                batch.push(adapter_request);
+                batch.push(req);
             }
         }
         for (holder, batch) in by_holder {
@@ -157,8 +159,8 @@
                 None => node.loaders.record_requests(batch, None, node.now()),
                 Some(name) => {
                     for part in batch.chunks(MAX_REQUESTS_PER_DATAGRAM) {
-                        let adapter_requests = Packet::AdapterRequests(part.to_vec());
-                        node.send(Destination::Peer(name.clone()), adapter_requests);
+                        let requests = Packet::AdapterRequests(part.to_vec());
+                        node.send(Destination::Peer(name.clone()), requests);
                     }
                 }
             }
@@ -167,9 +169,9 @@
     }
 }
 
-/// Least pause between two lines on datagrams that aren't read.
+/// Minimum interval between two log lines about datagrams that can't be decoded.
 const UNREAD_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Wishes that fit into one datagram.
+/// Max number of adapter requests in one datagram.
 const MAX_REQUESTS_PER_DATAGRAM: usize = 16;
 
 async fn receive<E: Edge>(node: &Arc<Node<E>>, socket: &UdpSocket) {
@@ -180,7 +182,7 @@
             Ok((len, from)) => match Packet::decode(&buf[..len]) {
                 Ok(packet) => {
                     node.metrics.record_received(packet.name(), len);
-                    for reply in take(node, packet, from) {
+                    for reply in handle_packet(node, packet, from) {
                         send_all(node, socket, &Packet::Exchange(reply), &[from]).await;
                     }
                 }
@@ -189,13 +191,13 @@
                     log_unread(&mut last_logged, from, &err, node.now());
                 }
             },
-            // A peer whose port is closed: the system tells so on the next receive.
+            // A peer's port is closed: the system reports that error on the next receive.
             Err(_refused) => tokio::time::sleep(Duration::from_millis(1)).await,
         }
     }
 }
 
-/// Says that a datagram is not read, once a second at most.
+/// Logs that a datagram can't be decoded, at most once per `UNREAD_LOG_INTERVAL`.
 fn log_unread(last_logged: &mut Option<Time>, from: SocketAddr, err: &PacketError, now: Time) {
     if last_logged.is_some_and(|last_logged| now.since(last_logged) < UNREAD_LOG_INTERVAL) {
         return;
@@ -207,13 +209,13 @@
     );
 }
 
-/// Takes a datagram in; gives what is to be answered.
-fn take<E: Edge>(node: &Arc<Node<E>>, packet: Packet, from: SocketAddr) -> Vec<Message> {
+/// Handles a received datagram; returns the replies to send.
+fn handle_packet<E: Edge>(node: &Arc<Node<E>>, packet: Packet, from: SocketAddr) -> Vec<Message> {
     let now = node.now();
     match packet {
         Packet::Exchange(message) => {
             let mut tables = node.tables();
-            let answers = tables.receive_message(message, from, now);
+            let replies = tables.receive_message(message, from, now);
             let behind = tables
                 .peers
                 .at(from)
@@ -222,11 +224,10 @@
             if behind {
                 node.peer_is_newer.notify_one();
             }
-            return answers;
+            return replies;
         }
-        Packet::AdapterRequests(adapter_requests) => {
-            node.loaders
-                .record_requests(adapter_requests, Some(from), now);
+        Packet::AdapterRequests(requests) => {
+            node.loaders.record_requests(requests, Some(from), now);
             node.loader_work.notify_waiters();
         }
         Packet::ResidencyUpdates(updates) => apply_residency_updates(node, updates, now),
@@ -235,7 +236,7 @@
     Vec::new()
 }
 
-/// Takes in what engines hold, and passes what is new on to those that ask this instance for news.
+/// Applies residency updates of engines and forwards the new ones to this instance's subscribers.
 fn apply_residency_updates<E: Edge>(node: &Node<E>, updates: Vec<ResidencyUpdate>, now: Time) {
     let mut tables = node.tables();
     let mut changed = Vec::new();
@@ -246,13 +247,13 @@
             changed.push(update);
         }
     }
-    let relays = tables.exchange.subscriber_count() > 0;
+    let has_subscribers = tables.exchange.subscriber_count() > 0;
     drop(tables);
     if changed.is_empty() {
         return;
     }
     node.changed.notify_waiters();
-    if relays {
+    if has_subscribers {
         for update in changed {
             node.residency_updates.pass_on(update);
         }
--- a/crates/gateway/src/net/http_client.rs
+++ b/crates/gateway/src/net/http_client.rs
@@ -1,4 +1,4 @@
-//! Short calls to the store, engines and peers.
+//! HTTP client for short requests to the store, engines and peers.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,9 +16,9 @@
 use super::pool::Connection;
 use super::sockets::connect;
 
-/// Longest answer that is read.
+/// Max size of a response body.
 const MAX_RESPONSE_BYTES: usize = 8 * 1_024 * 1_024;
-/// Time for a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 fn failed(address: SocketAddr, cause: &dyn fmt::Display) -> GatewayError {
@@ -47,11 +47,11 @@
     Ok((head.status, body.to_bytes()))
 }
 
-/// Calls a process on a connection of its own.
+/// Sends a request on a new connection and reads the complete response.
 ///
 /// # Errors
 ///
-/// No connection, no whole answer, or none within the time.
+/// The connection fails, or the response is incomplete or takes longer than `timeout`.
 pub async fn call(
     address: SocketAddr,
     req: Request<Bytes>,
@@ -65,7 +65,7 @@
     answered.map_err(|elapsed| failed(address, &elapsed))?
 }
 
-/// Calls a target, on a kept connection if there is one.
+/// Sends a request to a target, on a pooled connection if there is one.
 pub(super) async fn call_target<E: Edge>(
     node: &Node<E>,
     target: &TargetId,
--- a/crates/gateway/src/net/job_response.rs
+++ b/crates/gateway/src/net/job_response.rs
@@ -1,4 +1,4 @@
-//! What a request's caller is answered, and what is logged of it.
+//! Responses to the caller of a request, and their log lines.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::local_response::{ResponseBody, error_response, spread_retry_after};
 use super::log::{LogEvent, event};
 
-/// Why a request is refused under which targets end. It has run, so it is not told to come back.
+/// Message for a request under which targets crash. The request has run, so the response has no `Retry-After`.
 const QUARANTINED: &str =
     "targets ended each time this request ran: change it, or ask an operator to let it through";
 
@@ -105,7 +105,7 @@
         error_response(&self.node.protocol, status, message, after)
     }
 
-    /// Passes a target's answer on.
+    /// Forwards a target's response to the caller.
     pub(super) fn forward_response(
         &self,
         parts: &http::response::Parts,
--- a/crates/gateway/src/net/leases.rs
+++ b/crates/gateway/src/net/leases.rs
@@ -1,4 +1,4 @@
-//! Keeps the leases of the loader shards.
+//! Acquires, renews and releases the leases of the loader shards.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,16 +18,17 @@
 use super::log::{LogEvent, event};
 use super::node::Node;
 
-/// Longest sleep of a lease's task.
+/// Max sleep of a lease's task.
 const MAX_SLEEP: Duration = Duration::from_millis(300);
-/// Time after the start in which peers are waited for, so that not the first one takes all; a lease
-/// held before a restart is taken at once.
+/// Time after the start before an instance claims leases. Peers are discovered meanwhile, so that the first
+/// instance does not claim all shards; a lease held before a restart is taken immediately.
 const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(700);
 
-/// Added for each shard, so that one instance doesn't claim several before the others hear of it.
+/// Added for each shard, so that an instance does not claim several shards before the others receive its
+/// claims.
 const SHARD_CLAIM_DELAY: Duration = Duration::from_millis(250);
 
-/// The leases as seen by this instance.
+/// State of the shard leases as known to this instance.
 #[derive(Debug)]
 pub(super) struct Leases {
     shards: Vec<Mutex<ShardLease>>,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// No lease is kept any longer.
+    /// Whether this instance has released its leases and renews none.
     fn released(&self) -> bool {
         self.released.load(Ordering::Relaxed)
     }
@@ -53,12 +54,13 @@
         lease.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lives of a shard's engines that no late order to a former life can meet, as of the last write.
+    /// Incarnations of a shard's engines that a delayed order to an earlier incarnation can't reach any more, as of
+    /// the last write.
     pub(super) fn settled_incarnations(&self, shard: u8) -> Vec<ShortHash> {
         self.lock(shard).settled().to_vec()
     }
 
-    /// The fencing number to order with on a shard, while this instance may.
+    /// Returns the shard's fencing number while this instance may send orders, `None` otherwise.
     pub(super) fn may_order(&self, shard: u8, now: Time) -> Option<u64> {
         self.lock(shard).may_order(now)
     }
@@ -68,8 +70,8 @@
     format!("shard-{shard}")
 }
 
-/// Reads all leases in one call where this instance may have held one before a restart, so that it is taken
-/// at once, then keeps each.
+/// Starts a task for the lease of each shard. If this instance may have held leases before a restart, all are
+/// read in one call first, so that those leases are taken immediately.
 pub(super) async fn run<E: Edge>(node: Arc<Node<E>>) {
     node.wait_for_peer_list().await;
     let may_hold = node.tables().may_hold_leases();
@@ -94,8 +96,8 @@
     }
 }
 
-/// Keeps the lease of one shard until the process ends. One that stops takes no further lease, but
-/// goes on with those that it holds: its engines load on while it serves its last requests.
+/// Maintains the lease of one shard until the process ends. A stopping instance claims no further lease, but
+/// keeps those that it holds: its engines continue to load while it serves its last requests.
 async fn maintain<E: Edge>(node: Arc<Node<E>>, shard: u8) {
     let may_claim_at = node.now() + PEER_DISCOVERY_TIME + SHARD_CLAIM_DELAY * u32::from(shard);
     while !node.leases.released() && (!node.is_stopping() || is_held(&node, shard)) {
@@ -137,8 +139,9 @@
     node.leases.lock(shard).is_held(node.now())
 }
 
-/// This instance comes first for the shard among those that live, hear the store and hold none
-/// yet; so the shards spread over instances, and one that is cut from the store is replaced.
+/// Returns whether this instance has the highest precedence for the shard among the live instances that reach
+/// the store and hold no shard yet. So the shards are spread over the instances, and a holder that is
+/// partitioned from the store is replaced.
 fn is_wanted<E: Edge>(node: &Node<E>, shard: u8, now: Time) -> bool {
     let tables = node.tables();
     if !tables.ready() || !tables.registry.is_store_reachable(now) {
@@ -179,7 +182,7 @@
 
 async fn write<E: Edge>(node: &Node<E>, shard: u8, record: LeaseRecord, at: Option<Revision>) {
     {
-        // Told before the answer comes, so that this instance doesn't claim a second one meanwhile.
+        // Recorded before the response arrives, so that this instance does not claim a second shard meanwhile.
         let claims = &mut node.tables().claims;
         if !claims.contains(&shard) {
             claims.push(shard);
@@ -199,7 +202,7 @@
     }
 }
 
-/// Brings the tables in line with the lease and tells of changes.
+/// Updates the tables from the lease and logs changes.
 fn record_lease<E: Edge>(node: &Node<E>, shard: u8) {
     let now = node.now();
     let may_order = node.leases.may_order(shard, now);
@@ -232,10 +235,10 @@
     node.loader_work.notify_waiters();
 }
 
-/// Gives all leases up, so that others need not wait for them to expire.
+/// Releases all leases, so that other instances need not wait for them to expire.
 ///
-/// A lease that the store refuses to write stays: nobody else can take it meanwhile, and this
-/// instance, or its next life under the same name, goes on with it.
+/// A lease whose release the store rejects stays held: no other instance can take it meanwhile, and this
+/// instance, or its next incarnation under the same name, continues with it.
 pub(super) async fn release_all<E: Edge>(node: &Node<E>) {
     node.leases.released.store(true, Ordering::Relaxed);
     for shard in 0..SHARDS {
--- a/crates/gateway/src/net/loaders.rs
+++ b/crates/gateway/src/net/loaders.rs
@@ -1,4 +1,4 @@
-//! Runs the loaders of the engines whose shards this instance holds.
+//! Runs the loaders of the engines in the shards whose leases this instance holds.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -20,37 +20,38 @@
 use super::log::{LogEvent, event};
 use super::node::{Destination, Node};
 
-/// Loads that the holders together allow themselves, as a fraction of those at full speed: what
-/// they know of each other is a tenth of a second old, and a store that waits for an order loses
-/// more than loads that run a quarter longer.
+/// Numerator and denominator of the concurrent loads of all shard holders, relative to the number that the
+/// weight store carries at full speed. The holders' state of each other is a tenth of a second old, and a
+/// store that idles until the next order loses more than loads that take a quarter longer.
 const LOADS_NUMERATOR: usize = 5;
 const LOADS_DENOMINATOR: usize = 4;
-/// Loads that every holder may have under way.
+/// Concurrent loads that every shard holder may have in any case.
 const MIN_CONCURRENT_LOADS: usize = 2;
-/// Longest wait for an engine's report.
+/// Timeout for an engine's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait for the answer to an order. Engines answer in 3 ms, and a machine whose processor
-/// share is used up stands still for most of 100 ms. An order that takes longer than this is taken
-/// for lost, which is safe, and the adapter's requests wait no longer.
+/// Timeout for the response to an order. Engines respond in 3 ms, and a machine whose CPU quota is used up
+/// is throttled for most of 100 ms. An order that takes longer is considered lost, which is safe, and the
+/// adapter's requests wait no longer for it.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(130);
-/// Least pause between words on holdings that did not change: a datagram may be lost.
+/// Minimum interval between residency updates without changes. They are repeated because a datagram may be
+/// lost.
 const MIN_REPEAT_INTERVAL: Duration = Duration::from_secs(4);
-/// The same for each engine of an instance: 750 engines, as many as it may hold before 3,000, are
-/// told of again within 30 s, 25 words or two datagrams a second to each peer.
+/// Interval between repeated updates per engine of an instance. With 750 engines, the most that an instance may
+/// hold in a fleet of 3,000, each is repeated within 30 s: 25 updates or two datagrams a second to each peer.
 const REPEAT_INTERVAL_PER_ENGINE: Duration = Duration::from_millis(40);
-/// Age of a wish up to which its sender is told at once what the engine holds.
+/// Max age of a load request whose sender gets the engine's residency updates immediately.
 const WAITING_SENDER_TTL: Duration = Duration::from_millis(1_500);
-/// Pause between looks for engines without a loader.
+/// Interval of the checks for engines without a loader.
 const ENGINE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest sleep of a loader.
+/// Max sleep of a loader.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
-/// Load of the fleet, in parts of its slots, above which an engine that comes empty gets its base
-/// model from the weight store. Below it the others have room, and the load is not worth its
-/// place in the store's rate.
+/// Utilization of the slots of the engines with the base model above which an engine without a model loads it
+/// from the weight store. Below it the other engines have free capacity, and the load is not worth its share
+/// of the store's rate.
 const MODEL_LOAD_UTILIZATION: f64 = 0.35;
-/// Engines with the base model that are kept in any case.
+/// Number of engines below which a base model is loaded at any utilization.
 const MIN_ENGINES_WITH_MODEL: usize = 3;
-/// Pause between two orders for the same engine's base model.
+/// Minimum interval between two orders to load the base model on the same engine.
 const MODEL_ORDER_INTERVAL: Duration = Duration::from_secs(4);
 
 #[derive(Debug)]
@@ -60,9 +61,10 @@
     update_count: u64,
     last_sent: Time,
     model_requested: Option<Time>,
-    /// Where instances are whose requests waited for an adapter of it lately.
+    /// Addresses of instances whose requests recently waited for an adapter on the engine, and when they last
+    /// asked for a load.
     waiting_senders: HashMap<SocketAddr, Time>,
-    /// Its task runs; one that doesn't is kept for what it knows of unanswered orders.
+    /// Whether its task runs. An inactive loader is kept because it knows of orders without a response.
     is_active: bool,
 }
 
@@ -73,7 +75,7 @@
         .max(MIN_REPEAT_INTERVAL)
 }
 
-/// The loaders that run here.
+/// The loaders of this instance.
 #[derive(Debug, Default)]
 pub(super) struct Loaders {
     running: Mutex<HashMap<TargetId, RunningLoader>>,
@@ -84,41 +86,34 @@
         self.running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in wishes for engines whose loaders run here; others are dropped, as their sender
-    /// repeats them to the new holder.
+    /// Passes adapter requests to the loaders of their engines. Requests for engines without an active loader
+    /// here are dropped, since their sender repeats them to the new holder.
     pub(super) fn record_requests(
         &self,
-        adapter_requests: Vec<AdapterRequest>,
+        requests: Vec<AdapterRequest>,
         from: Option<SocketAddr>,
         now: Time,
     ) {
         let mut running = self.lock();
-        for adapter_request in adapter_requests {
-            let Some(entry) = running
-                .get_mut(&adapter_request.target)
-                .filter(|entry| entry.is_active)
-            else {
+        for req in requests {
+            let Some(entry) = running.get_mut(&req.target).filter(|entry| entry.is_active) else {
                 continue;
             };
-            if let (AdapterRequestKind::Load(_), Some(from)) = (adapter_request.kind, from) {
+            if let (AdapterRequestKind::Load(_), Some(from)) = (req.kind, from) {
                 entry.waiting_senders.insert(from, now);
             }
-            match adapter_request.kind {
+            match req.kind {
                 AdapterRequestKind::Load(version) => {
-                    entry.loader.request_load(adapter_request.key, version, now)
-                }
-                AdapterRequestKind::Started => {
-                    entry.loader.request_started(&adapter_request.key, now)
-                }
-                AdapterRequestKind::Ended => entry.loader.request_ended(&adapter_request.key, now),
-                AdapterRequestKind::Missing => {
-                    entry.loader.adapter_missing(&adapter_request.key, now)
+                    entry.loader.request_load(req.key, version, now);
                 }
+                AdapterRequestKind::Started => entry.loader.request_started(&req.key, now),
+                AdapterRequestKind::Ended => entry.loader.request_ended(&req.key, now),
+                AdapterRequestKind::Missing => entry.loader.adapter_missing(&req.key, now),
             }
         }
     }
 
-    /// The word on what an engine holds, if one is due, and who waits for it.
+    /// Returns the residency update of an engine, if one is due, and the addresses of instances that wait for it.
     fn next_update(
         &self,
         id: &TargetId,
@@ -164,7 +159,7 @@
         }
     }
 
-    /// Loads under way, and adapters that wait for one.
+    /// Returns the number of loads in progress and of adapters that wait for a load.
     fn load_counts(&self) -> (usize, usize) {
         let running = self.lock();
         let active = running.values().filter(|entry| entry.is_active);
@@ -178,7 +173,7 @@
     }
 }
 
-/// Starts a loader for each engine of the shards held, until the process ends.
+/// Starts a loader for each engine of the held shards, until the process ends.
 pub(super) async fn run<E: Edge>(node: Arc<Node<E>>) {
     loop {
         for target in engines_without_loader(&node) {
@@ -271,11 +266,11 @@
     }
 }
 
-/// Shortest sleep of a loader.
+/// Minimum sleep of a loader.
 const MIN_SLEEP: Duration = Duration::from_millis(2);
 
-/// The target and the fencing number, while this instance may order on it and it lives the same
-/// life.
+/// Returns the target and the fencing number, while this instance may send orders to the target and the target
+/// is in the incarnation for which the loader was started.
 fn may_load<E: Edge>(node: &Node<E>, id: &TargetId) -> Option<(Target, u64)> {
     let tables = node.tables();
     let target = tables.registry.get(id)?.clone();
@@ -318,8 +313,8 @@
         .step(|key| tables.versions.newest(key), store_has_capacity, now)
 }
 
-/// Adapters that this instance may have on their way from the weight store: its part of what the
-/// store carries at full speed, by what is asked for at each holder.
+/// Returns how many adapters this instance may load from the weight store at the same time: its share of what
+/// the store carries at full speed, in proportion to the loads requested at each holder.
 fn max_concurrent_loads(tables: &Tables, target: &Target, requested: usize, now: Time) -> usize {
     let config = tables.routes.config();
     let service = config.service(&target.service);
@@ -335,7 +330,7 @@
         .max(MIN_CONCURRENT_LOADS)
 }
 
-/// The base model that the engine should load.
+/// Returns the base model that the engine should load, if any.
 fn missing_model(tables: &Tables, target: &Target) -> Option<bluebellstage_core::BaseModel> {
     if !target.models.is_empty() || target.leaving {
         return None;
@@ -381,7 +376,7 @@
     }
 }
 
-/// Sends an order; false if the lease does not allow it any more.
+/// Sends an order; returns `false` if the lease does not allow it any more.
 async fn send_order<E: Edge>(
     node: &Arc<Node<E>>,
     target: &Target,
@@ -391,7 +386,7 @@
     let shard = shard_of(&target.id);
     let holder = node.settings.member.name.to_string();
     let req = node.protocol.order_request(target, order, &holder, fencing);
-    // The time may have passed in a suspension: the lease is looked at right before the send.
+    // The lease is checked right before the send, since it may have expired while the machine was suspended.
     if node.leases.may_order(shard, node.now()) != Some(fencing) {
         return false;
     }
@@ -426,8 +421,8 @@
     true
 }
 
-/// How much longer a load from the weight store takes than alone, by the loads known to be under
-/// way.
+/// Returns the factor by which concurrent loads slow down a load from the weight store, from the loads known
+/// to be in progress.
 fn slowdown<E: Edge>(node: &Node<E>, target: &Target) -> f64 {
     let (local, _) = node.loaders.load_counts();
     let now = node.now();
@@ -453,8 +448,8 @@
     }
 }
 
-/// Tells the instances what the engine holds, when it changed and now and then: those at once that
-/// wait for one of its adapters, the others with the next batch.
+/// Publishes the engine's residency update after a change and periodically: immediately to the instances that
+/// wait for one of its adapters, to the others with the next batch.
 fn publish<E: Edge>(node: &Node<E>, id: &TargetId, fencing: u64) {
     let now = node.now();
     let Some((update, waiting_senders)) = node.loaders.next_update(id, fencing, now) else {
--- a/crates/gateway/src/net/log.rs
+++ b/crates/gateway/src/net/log.rs
@@ -1,109 +1,109 @@
-//! The numbered log events of the gateway; docs/EVENTS.md is held to this list by a test.
+//! The numbered log events of the gateway. A test compares docs/EVENTS.md with this list.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 pub use bluebellstage_telemetry::LOG_TARGET;
 
-/// Events about requests and orders that are written in one second; more are counted and left out, so that a
-/// storm of refusals doesn't spend the processor on telling of it.
+/// Max number of events about requests and orders that are written per second. Further events are counted and
+/// dropped, so that a burst of rejections does not spend the CPU on logging.
 const REQUEST_EVENTS_PER_SECOND: u32 = 60;
 
-/// Events from this number on come with each request or order to an engine.
+/// Events with this code or a higher one occur with each request or order to an engine.
 const FIRST_FREQUENT_CODE: u16 = 3_303;
 
 bluebellstage_telemetry::log_events! {
-    /// The instance serves.
+    /// The instance has started and serves requests.
     Started = 3001, Info, "instance started";
-    /// A planned stop was asked for.
-    StopAsked = 3002, Info, "planned stop asked for";
-    /// The instance ends.
+    /// A planned stop was requested.
+    StopAsked = 3002, Info, "planned stop requested";
+    /// The instance has stopped.
     Stopped = 3003, Info, "instance stopped";
     /// A socket option can't be set.
     SocketOption = 3004, Warn, "socket option can't be set";
-    /// A datagram was dropped because too many wait.
-    DatagramDropped = 3005, Warn, "datagram dropped: too many wait";
-    /// A datagram doesn't parse.
-    DatagramMalformed = 3006, Warn, "datagram doesn't parse";
-    /// Events were left out.
-    EventsLeftOut = 3007, Warn, "log events left out";
+    /// A datagram was dropped because the send queue is full.
+    DatagramDropped = 3005, Warn, "datagram dropped: send queue is full";
+    /// A datagram can't be encoded or decoded.
+    DatagramMalformed = 3006, Warn, "datagram can't be encoded or decoded";
+    /// Events were dropped by the rate limit.
+    EventsLeftOut = 3007, Warn, "log events dropped by the rate limit";
     /// A new connection can't be accepted.
     AcceptFailed = 3008, Warn, "connection can't be accepted";
     /// The metrics' port can't be opened.
     MetricsPortRefused = 3009, Warn, "metrics port can't be opened";
 
-    /// Settings were read again.
-    SettingsReloaded = 3010, Info, "settings read again";
-    /// Settings can't be used; those in force stay.
-    SettingsRefused = 3011, Warn, "settings refused";
+    /// Settings were reloaded.
+    SettingsReloaded = 3010, Info, "settings reloaded";
+    /// Settings can't be used; the current settings stay in force.
+    SettingsRefused = 3011, Warn, "settings rejected";
 
     /// A newer configuration is in force.
     ConfigAdopted = 3101, Info, "configuration in force";
     /// A target registered.
     TargetAdded = 3102, Info, "target registered";
-    /// A target leaves.
-    TargetLeaving = 3103, Info, "target leaves: no new work for it";
-    /// A target's registration is gone.
-    TargetGone = 3104, Info, "target's registration is gone";
-    /// An object names nothing.
-    ObjectMalformed = 3105, Warn, "object doesn't parse and is ignored";
+    /// A target is draining.
+    TargetLeaving = 3103, Info, "target is draining: no new requests are sent to it";
+    /// A target's registration was removed.
+    TargetGone = 3104, Info, "target unregistered";
+    /// An object can't be decoded.
+    ObjectMalformed = 3105, Warn, "object can't be decoded and is ignored";
     /// A newer version of an adapter was announced.
     VersionAnnounced = 3106, Info, "adapter version announced";
-    /// A target is left alone for a while.
+    /// A target was ejected: it gets no requests for a while.
     TargetEjected = 3107, Warn, "target ejected";
-    /// A target's process ended while it ran requests.
-    TargetEnded = 3108, Warn, "target ended under requests";
-    /// A request is no longer sent to targets.
-    RequestQuarantined = 3109, Warn, "request quarantined: targets end under it";
-    /// A quarantined request is sent to targets again.
-    QuarantineCleared = 3110, Info, "quarantined request let through again";
-    /// A target named a limit, or another one.
-    TargetLimited = 3111, Warn, "target names a limit";
-    /// A target names no limit any more.
-    TargetUnlimited = 3112, Info, "target names no limit any more";
+    /// A target's process crashed while it ran requests.
+    TargetEnded = 3108, Warn, "target crashed while running requests";
+    /// A request was quarantined: it is no longer sent to targets.
+    RequestQuarantined = 3109, Warn, "request quarantined: targets crash under it";
+    /// The quarantine of a request was cleared: it is sent to targets again.
+    QuarantineCleared = 3110, Info, "quarantine of request cleared";
+    /// A target reported a limit, or a different limit.
+    TargetLimited = 3111, Warn, "target reports a limit";
+    /// A target no longer reports a limit.
+    TargetUnlimited = 3112, Info, "target no longer reports a limit";
 
     /// The store can't be reached.
     StoreLost = 3201, Warn, "store can't be reached";
-    /// The store answers again.
-    StoreBack = 3202, Info, "store answers again";
-    /// A peer's copy was taken over.
-    PeerCopyTaken = 3203, Info, "newer state taken from a peer";
+    /// The store is reachable again.
+    StoreBack = 3202, Info, "store is reachable again";
+    /// State was copied from a peer.
+    PeerCopyTaken = 3203, Info, "newer state copied from a peer";
     /// A peer's copy can't be read.
     PeerCopyFailed = 3204, Warn, "peer's state can't be read";
     /// A list or watch of the store ended.
     StoreCallEnded = 3205, Debug, "call to the store ended";
-    /// This instance begins or ends to follow the store.
-    FollowChanged = 3206, Info, "store is followed here, or no longer";
-    /// This instance begins or ends to relay news.
-    RelayChanged = 3207, Info, "news are relayed here, or no longer";
+    /// This instance started or stopped following the store.
+    FollowChanged = 3206, Info, "instance started or stopped following the store";
+    /// This instance started or stopped being a relay.
+    RelayChanged = 3207, Info, "instance started or stopped relaying updates";
 
-    /// A loader shard is held.
+    /// The lease of a loader shard was acquired.
     LeaseTaken = 3301, Info, "loader lease taken";
-    /// A loader shard is no longer held.
+    /// The lease of a loader shard was lost.
     LeaseLost = 3302, Warn, "loader lease lost";
-    /// A load or unload was ordered.
+    /// An order to load or unload was accepted by an engine.
     OrderSent = 3303, Debug, "order sent to engine";
-    /// An engine did not take an order.
-    OrderFailed = 3304, Info, "order not taken by engine";
+    /// An engine did not accept an order or gave no report.
+    OrderFailed = 3304, Info, "order not accepted by engine";
 
-    /// A request was refused.
+    /// A request was rejected.
     RequestRefused = 3401, Info, "request refused";
-    /// A target did not run a request; it goes elsewhere.
+    /// A target did not run a request; the request is sent elsewhere.
     RequestNotRun = 3402, Info, "target did not run request";
     /// An attempt failed.
     AttemptFailed = 3403, Info, "attempt failed";
-    /// A stream goes on at another target.
-    StreamResumed = 3404, Info, "stream goes on at another target";
-    /// A stream broke off and can't go on.
+    /// A stream was resumed at another target.
+    StreamResumed = 3404, Info, "stream resumed at another target";
+    /// A stream was interrupted and can't be resumed.
     StreamBroken = 3405, Warn, "stream broken off";
-    /// A target's limit is no number.
-    LimitMalformed = 3407, Info, "target's limit is no number";
-    /// A request was answered.
+    /// A target's limit is not a number.
+    LimitMalformed = 3407, Info, "target's limit is not a number";
+    /// A target's response to a request was forwarded.
     RequestAnswered = 3406, Debug, "request answered";
 }
 
 impl LogEvent {
-    /// Whether it comes with each request or order, so that its volume must be bounded.
+    /// Whether the event occurs with each request or order, so that its rate must be limited.
     #[must_use]
     pub const fn is_frequent(self) -> bool {
         self.code() >= FIRST_FREQUENT_CODE
@@ -122,7 +122,7 @@
     left_out: 0,
 });
 
-/// Writes an event with its fields.
+/// Logs an event with its fields, subject to the rate limit of frequent events.
 pub fn event(event: LogEvent, fields: &[(&'static str, &str)]) {
     if !log::log_enabled!(target: LOG_TARGET, event.level()) {
         return;
--- a/crates/gateway/src/net/metrics.rs
+++ b/crates/gateway/src/net/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics under the names that the field uses, scraped as Prometheus text.
+//! Metrics of the gateway, scraped as Prometheus text.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::decide::kind::Kind;
 use crate::decide::tables::Tables;
 
-/// Bounds of the buckets of durations, in seconds: 1 ms to 15 s, the longest that callers wait.
+/// Bounds of the duration buckets in seconds: 1 ms to 15 s, the max wait of callers.
 const SECONDS_BUCKETS: &[f64] = &[
     0.001, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 15.0,
 ];
@@ -63,7 +63,7 @@
 }
 
 impl Metrics {
-    /// Instruments with a registry of their own, so that several instances fit in one process.
+    /// Creates instruments with a separate registry, so that one process can run several instances.
     pub(super) fn new() -> Self {
         let instruments = Instruments::new();
         let counter = |name, description| instruments.counter(name, description);
@@ -122,12 +122,12 @@
         }
     }
 
-    /// A datagram went to so many instances.
+    /// Counts a datagram that was sent to `receivers` instances.
     pub(super) fn record_sent(&self, kind: &'static str, receivers: usize, bytes: usize) {
         self.datagram(kind, "sent", receivers, bytes * receivers);
     }
 
-    /// A datagram came.
+    /// Counts a received datagram.
     pub(super) fn record_received(&self, kind: &'static str, bytes: usize) {
         self.datagram(kind, "received", 1, bytes);
     }
@@ -141,7 +141,7 @@
         self.datagram_bytes.add(count(bytes), &labels);
     }
 
-    /// A request was answered.
+    /// Counts a request that got a response, and records the time until then.
     pub(super) fn request_answered(&self, kind: RouteKind, status: u16, after: Duration) {
         let kind = KeyValue::new("kind", kind_name(kind));
         let status = KeyValue::new("status", i64::from(status));
@@ -149,37 +149,37 @@
         self.response_time.record(after.as_secs_f64(), &[kind]);
     }
 
-    /// A request was refused.
+    /// Counts a rejected request.
     pub(super) fn request_refused(&self, reason: &'static str) {
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// An attempt at a target ended.
+    /// Counts a finished attempt at a target.
     pub(super) fn attempt_ended(&self, outcome: &'static str) {
         self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// A target was ejected.
+    /// Counts an ejection of a target.
     pub(super) fn target_ejected(&self) {
         self.ejections.add(1, &[]);
     }
 
-    /// A target ended under requests of this instance.
+    /// Counts a crash of a target that ran requests of this instance.
     pub(super) fn target_crashed(&self) {
         self.target_crashes.add(1, &[]);
     }
 
-    /// A request is no longer sent to targets.
+    /// Counts a request that was quarantined here.
     pub(super) fn request_quarantined(&self) {
         self.quarantined.add(1, &[]);
     }
 
-    /// An engine answered an order, or didn't.
+    /// Counts an order to an engine by its outcome.
     pub(super) fn order_ended(&self, answer: &'static str) {
         self.orders.add(1, &[KeyValue::new("answer", answer)]);
     }
 
-    /// A watch or list of the store ended.
+    /// Counts a finished watch or list of the store.
     pub(super) fn store_call_ended(&self, kind: Kind, outcome: &'static str) {
         let kind = KeyValue::new("kind", kind.name());
         let outcome = KeyValue::new("outcome", outcome);
@@ -197,7 +197,7 @@
         }
     }
 
-    /// All metrics as text.
+    /// Updates the gauges and returns all metrics as Prometheus text.
     pub(super) fn text(&self, tables: &Tables, connections: usize, now: Time) -> String {
         self.config_version.record(tables.routes.version().0, &[]);
         self.record_open_store_calls(tables, now);
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -1,7 +1,7 @@
-//! Carries decisions out: sockets, tasks, signals.
+//! Carries out the decisions of [`crate::decide`] with sockets, tasks and signals.
 //!
-//! One lock guards all tables of an instance and is never held over an await; so there is no lock
-//! order to keep.
+//! One lock guards all tables of an instance and is never held across an await, so there is no lock order
+//! to maintain.
 
 pub mod http_client;
 pub mod log;
--- a/crates/gateway/src/net/node.rs
+++ b/crates/gateway/src/net/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an instance share.
+//! State that the tasks of an instance share.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -21,33 +21,33 @@
 use super::pool::Pool;
 use super::residency_updates::ResidencyQueue;
 
-/// Whom a datagram goes to.
+/// Destination of a datagram.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Destination {
-    /// All instances, each by itself.
+    /// All instances, sent to each directly.
     All,
-    /// All instances, through relays where there are some.
+    /// All instances, through relays if there are any.
     Fleet,
-    /// Those that ask this instance for news.
+    /// The subscribers of this instance.
     Subscribers,
     /// One instance.
     Peer(InstanceId),
-    /// Whoever sent from this address.
+    /// The sender at this address.
     Address(SocketAddr),
 }
 
-/// A datagram that waits to be sent.
+/// A datagram queued for sending.
 pub type Outgoing = (Destination, Packet);
 
-/// What the tasks of an instance share.
+/// State that the tasks of an instance share.
 #[derive(Debug)]
 pub struct Node<E: Edge> {
-    /// The settings that it started with; [`Node::terms`] says what has changed of them.
+    /// The settings at the start; [`Node::terms`] has the current values of those that may change.
     pub settings: NodeSettings,
     terms: Mutex<Terms>,
-    /// How callers and targets speak.
+    /// Wire format of callers and targets.
     pub protocol: E::Protocol,
-    /// Where lasting state is kept.
+    /// The store of persistent state.
     pub store: E::Store,
     tables: Mutex<Tables>,
     pub(super) pool: Pool,
@@ -55,17 +55,18 @@
     pub(super) residency_updates: ResidencyQueue,
     pub(super) metrics: Metrics,
     pub(super) leases: Leases,
-    /// Targets on which runs were cut.
+    /// Checks of targets on which runs were interrupted.
     pub(super) crash_checks: CrashChecks,
-    /// A peer has newer state than this instance.
+    /// Notified when a peer has newer state than this instance.
     pub(super) peer_is_newer: Notify,
-    /// An adapter was loaded, a target came or went.
+    /// Notified when an adapter was loaded, or a target was added or removed.
     pub(super) changed: Notify,
-    /// A loader has something to do.
+    /// Notified when a loader has something to do.
     pub(super) loader_work: Notify,
-    /// The instance begins to stop.
+    /// Notified when the instance starts to stop and when it starts to close connections.
     pub(super) stop: Notify,
-    /// The first try to register is over; the first list of instances is, too.
+    /// Whether the first attempt to register has finished; `peers_listed` is the same for the first list of
+    /// instances.
     registered: watch::Sender<bool>,
     peers_listed: watch::Sender<bool>,
     is_stopping: AtomicBool,
@@ -75,13 +76,13 @@
     outgoing: mpsc::Sender<Outgoing>,
 }
 
-/// Longest wait for the store's list of instances at the start.
+/// Max wait for the store's list of instances at the start.
 const PEER_LIST_TIMEOUT: Duration = Duration::from_millis(400);
-/// Datagrams that may wait to be sent; more are dropped, as on a full link.
+/// Capacity of the send queue; further datagrams are dropped, as on a full link.
 const OUTGOING_QUEUE: usize = 256;
 
 impl<E: Edge> Node<E> {
-    /// A node, and the datagrams that its tasks want sent.
+    /// Returns a node and the queue of datagrams that its tasks send.
     pub fn new(
         settings: NodeSettings,
         protocol: E::Protocol,
@@ -118,55 +119,56 @@
         (node, packets)
     }
 
-    /// The tables, locked; a panic of another task while it held them leaves them usable.
+    /// Locks the tables. They stay usable after a panic of a task that held the lock.
     pub fn tables(&self) -> MutexGuard<'_, Tables> {
         self.tables.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The terms in force. A lock of its own: hold none of the tables' while it is taken.
+    /// Locks the current reloadable settings. They have a lock of their own, which must not be taken while the
+    /// lock of the tables is held.
     pub fn terms(&self) -> MutexGuard<'_, Terms> {
         self.terms.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts other terms in force.
+    /// Replaces the reloadable settings.
     pub(super) fn set_terms(&self, terms: Terms) {
         self.tables().set_retry_budget(terms.retry_budget);
         *self.terms() = terms;
     }
 
-    /// The time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         boot_time()
     }
 
-    /// The first try to register is over.
+    /// Records that the first attempt to register has finished.
     pub(super) fn mark_registration_tried(&self) {
         self.registered.send_replace(true);
     }
 
-    /// Waits for that.
+    /// Waits until the first attempt to register has finished.
     pub(super) async fn wait_for_registration(&self) {
         wait_for(&self.registered).await;
     }
 
-    /// The store has told who the other instances are, or failed to.
+    /// Records that the store has listed the other instances, or failed to.
     pub(super) fn mark_peers_listed(&self) {
         self.peers_listed.send_replace(true);
     }
 
-    /// Waits for that, but no longer than the store takes on a good day: peers and seeds may help where it
-    /// doesn't answer.
+    /// Waits until the store has listed the other instances, but no longer than a healthy store takes: peers and
+    /// seeds can supply the state if the store does not respond.
     pub(super) async fn wait_for_peer_list(&self) {
         let _listed_or_late =
             tokio::time::timeout(PEER_LIST_TIMEOUT, wait_for(&self.peers_listed)).await;
     }
 
-    /// A planned stop is under way.
+    /// Whether a planned stop is in progress.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Connections are closed as soon as their requests are answered.
+    /// Whether connections are closed as soon as their requests have a response.
     pub(super) fn is_closing(&self) -> bool {
         self.is_closing.load(Ordering::Relaxed)
     }
@@ -182,14 +184,14 @@
         self.stop.notify_waiters();
     }
 
-    /// Queues a datagram.
+    /// Queues a datagram; drops it if the queue is full.
     pub(super) fn send(&self, to: Destination, packet: Packet) {
         if self.outgoing.try_send((to, packet)).is_err() {
             super::log::event(super::log::LogEvent::DatagramDropped, &[]);
         }
     }
 
-    /// Queues news for the loaders; sent with the next round, or at once if `urgent`.
+    /// Queues an adapter request, which is sent with the next batch.
     pub(super) fn queue_adapter_request(&self, adapter_request: AdapterRequest) {
         let mut adapter_requests = self
             .adapter_requests
@@ -209,6 +211,6 @@
 
 async fn wait_for(flag: &watch::Sender<bool>) {
     let mut flag = flag.subscribe();
-    // The sender lives as long as the node does.
-    let _never_gone = flag.wait_for(|set| *set).await;
+    // The sender is never dropped while the node exists.
+    let _never_closed = flag.wait_for(|set| *set).await;
 }
--- a/crates/gateway/src/net/peer_copy.rs
+++ b/crates/gateway/src/net/peer_copy.rs
@@ -1,4 +1,4 @@
-//! Takes what peers know of the store and this instance doesn't.
+//! Copies newer state of the store from peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,18 +19,19 @@
 use super::node::Node;
 use super::sync::{adopt_config, announce};
 
-/// Pause between two copies taken from peers.
+/// Interval between two copies from peers.
 const COPY_INTERVAL: Duration = Duration::from_millis(300);
-/// Time for a peer's copy; another peer is asked after it.
+/// Timeout for a peer's copy; then the next peer is tried.
 const COPY_TIMEOUT: Duration = Duration::from_millis(600);
-/// Peers that are asked in turn.
+/// Max number of peers that are tried in turn.
 const MAX_COPY_SOURCES: usize = 4;
-/// First and longest pause between two rounds of questions of an instance without a configuration.
+/// Initial and max backoff between two rounds of copy requests of an instance without a configuration.
 const START_BACKOFF: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(1)];
-/// Peers among which the first one to ask is drawn: all that start at once would ask the same one.
+/// Number of peers whose order is shuffled: otherwise all instances that start at the same time would ask the
+/// same peer first.
 const FIRST_SOURCE_CANDIDATES: usize = 8;
 
-/// Takes newer state from peers until the process ends.
+/// Copies newer state from peers until the process ends.
 pub(super) async fn run<E: Edge>(node: Arc<Node<E>>) {
     node.wait_for_peer_list().await;
     let mut start_backoff = START_BACKOFF[0];
@@ -67,16 +68,16 @@
     }
 }
 
-/// Peers that know something of the store that this instance doesn't; those of the own failure
-/// domain first, so that a copy crosses between two once.
+/// Returns peers that have newer state of the store than this instance. Peers of the local failure
+/// domain come first, so that a copy crosses between two failure domains only once.
 fn newer_peers<E: Edge>(node: &Node<E>) -> Vec<SocketAddr> {
     let tables = node.tables();
     let now = node.now();
     let newer = tables.peers.live(now).filter(|peer| tables.is_behind(peer));
     let mut newer = newer.collect::<Vec<_>>();
-    // Whoever is first in some order would be asked by all at once, and answer none in time.
+    // With a fixed order, all instances would ask the first peer at once and it would answer none in time.
     newer.shuffle(&mut rand::rng());
-    // One that has just lost the store keeps targets for a while that the others know to be gone.
+    // A peer that has just lost the store still lists targets for a while that others know to be removed.
     newer.sort_by_key(|peer| {
         let is_remote = peer.member.failure_domain != tables.local.failure_domain;
         (!peer.store_reachable, is_remote)
@@ -85,7 +86,7 @@
     addresses.take(MAX_COPY_SOURCES).collect()
 }
 
-/// Whom an instance without a configuration asks for one.
+/// Returns the addresses that an instance without a configuration asks for a copy.
 fn startup_sources<E: Edge>(node: &Node<E>) -> Vec<SocketAddr> {
     let seeds = node.terms().seeds.clone();
     let tables = node.tables();
--- a/crates/gateway/src/net/pool.rs
+++ b/crates/gateway/src/net/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to targets.
+//! Pool of idle connections to targets.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -12,22 +12,23 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Part of a target's own idle limit for which a connection is used again. The target's clock
-/// started earlier than ours, and a request that meets the close may be lost.
+/// Fraction of a target's idle limit for which a connection is reused. The target started its idle timer
+/// earlier than the pool, and a request that is sent while the target closes the connection may be lost.
 const IDLE_LIMIT_FRACTION: f64 = 0.6;
-/// Idle time after which a connection isn't used again where the target states no limit.
+/// Max idle time of a connection to a target that states no limit.
 const DEFAULT_MAX_IDLE: Duration = Duration::from_millis(500);
-/// Longest idle time of any kept connection; silent breaks are met less often on fresh ones.
+/// Max idle time of any connection. The longer a connection is idle, the more likely it has broken unnoticed.
 const MAX_IDLE: Duration = Duration::from_secs(4);
-/// Kept connections to one target.
+/// Max number of idle connections per target.
 const MAX_IDLE_PER_TARGET: usize = 16;
 
-/// A connection to a target; closed when dropped, so that work of a caller who left is cancelled.
+/// A connection to a target. It is closed when dropped, so that the work for a caller that disconnected is
+/// cancelled.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) tx: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// It has carried a request before.
+    /// Whether it has carried a request before.
     pub(super) reused: bool,
 }
 
@@ -38,7 +39,7 @@
             .handshake(TokioIo::new(stream))
             .await?;
         let drive = async move {
-            // The exchange that uses the connection meets the same error and tells of it.
+            // The exchange that uses the connection gets the same error and reports it.
             let _reported_by_exchange = driver.await;
         };
         Ok(Self {
@@ -61,14 +62,14 @@
     expires_at: Instant,
 }
 
-/// Kept connections by target.
+/// Idle connections by target.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
     idle_connections: Mutex<HashMap<TargetId, Vec<IdleConnection>>>,
 }
 
 impl Pool {
-    /// Takes the connection that was used last; older ones run out of time meanwhile.
+    /// Takes the most recently used connection; older connections expire meanwhile.
     pub(super) fn take(&self, target: &TargetId) -> Option<Connection> {
         let mut idle_connections = self
             .idle_connections
@@ -85,7 +86,7 @@
         None
     }
 
-    /// Keeps a connection whose last answer was complete.
+    /// Returns a connection whose last response was complete to the pool.
     pub(super) fn put(&self, target: &TargetId, connection: Connection, limit: Option<Duration>) {
         let stated = limit.map(|limit| limit.mul_f64(IDLE_LIMIT_FRACTION));
         let idle = stated.unwrap_or(DEFAULT_MAX_IDLE).min(MAX_IDLE);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Closes connections that won't be used again.
+    /// Closes expired and broken connections.
     pub(super) fn sweep(&self) {
         let now = Instant::now();
         let mut idle_connections = self
--- a/crates/gateway/src/net/quarantine.rs
+++ b/crates/gateway/src/net/quarantine.rs
@@ -1,4 +1,5 @@
-//! Carries out the quarantine of requests under which targets end: tells the others, keeps verdicts in the store.
+//! Carries out the quarantine of requests under which targets crash: sends messages to the other instances and
+//! stores the decisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,17 +16,18 @@
 use super::node::{Destination, Node};
 use super::sync::apply;
 
-/// First and longest pause between two tries to reach the store.
+/// Initial and max backoff between two attempts to reach the store.
 const STORE_BACKOFF: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(2)];
 
-/// A target ended under requests of this instance.
+/// Records and publishes the crash of a target that ran requests of this instance.
 pub(super) fn record_crash<E: Edge>(node: &Node<E>, crash: &Crash) {
     let now = node.now();
     let messages = node.tables().quarantine.record_crash(crash, now);
     publish(node, messages);
 }
 
-/// Judges requests of this instance that were on a target when it ended.
+/// Evaluates requests of this instance that were in flight at a target when it crashed. Logs, stores and
+/// publishes the decisions to quarantine them.
 pub(super) fn evaluate<E: Edge>(node: &Arc<Node<E>>, target: &TargetId, requests: &[Fingerprint]) {
     let now = node.now();
     let refused = node.tables().quarantine.evaluate(requests, now);
@@ -45,7 +47,7 @@
     );
 }
 
-/// A request was answered whole.
+/// Records that a request got a complete response; publishes that if other instances need to know.
 pub(super) fn record_served<E: Edge>(node: &Node<E>, request: Fingerprint) {
     let now = node.now();
     let message = node.tables().quarantine.record_served(request, now);
@@ -54,7 +56,7 @@
     }
 }
 
-/// An operator lets a request through again; false if it is not refused.
+/// Clears the quarantine of a request for an operator; returns `false` if the request is not quarantined.
 pub(super) fn clear<E: Edge>(node: &Arc<Node<E>>, request: Fingerprint) -> bool {
     let now = node.now();
     let Some(decision) = node.tables().quarantine.clear(request, now) else {
@@ -67,7 +69,7 @@
     true
 }
 
-/// Tells all others at once, and again with the next rounds.
+/// Sends messages to all other instances immediately, and again in the next rounds.
 fn publish<E: Edge>(node: &Node<E>, messages: Vec<QuarantineMessage>) {
     if messages.is_empty() {
         return;
@@ -76,7 +78,7 @@
     node.tables().quarantine.queue_resend(messages);
 }
 
-/// Sends words in as few datagrams as hold them.
+/// Sends messages in as few datagrams as possible.
 fn send<E: Edge>(node: &Node<E>, to: &Destination, messages: Vec<QuarantineMessage>) {
     for batch in batches(messages, QuarantineMessage::estimated_bytes) {
         node.send(to.clone(), Packet::Quarantine(batch));
@@ -89,7 +91,7 @@
     send(node, &Destination::Fleet, messages);
 }
 
-/// Takes in what another instance told, and passes what is new on to those that ask this one for news.
+/// Applies messages of another instance and queues the new ones for this instance's subscribers.
 pub(super) fn receive<E: Edge>(node: &Node<E>, messages: &[QuarantineMessage], now: Time) {
     let mut tables = node.tables();
     let mut new_messages = Vec::new();
@@ -103,14 +105,14 @@
     }
 }
 
-/// Passes on what others told lately to those that ask this instance for news.
+/// Forwards queued messages of other instances to this instance's subscribers.
 pub(super) fn forward_queued<E: Edge>(node: &Node<E>) {
     let now = node.now();
     let messages = node.tables().quarantine.take_forwarded(now);
     send(node, &Destination::Subscribers, messages);
 }
 
-/// Forgets what is long ago, in the store as well: whoever starts later would take it up again.
+/// Removes expired entries, also from the store: otherwise instances that start later would load them again.
 pub(super) fn sweep<E: Edge>(node: &Arc<Node<E>>, now: Time) {
     let expired = node.tables().quarantine.sweep(now);
     if expired.is_empty() || !node.tables().follows_store(now) {
@@ -119,14 +121,14 @@
     let node = Arc::clone(node);
     tokio::spawn(async move {
         for request in expired {
-            // One that stays is taken up again by a fleet that starts, and lasts an hour more.
+            // An entry that can't be removed is loaded again when the whole fleet starts, and lasts an hour more.
             let name = request.to_string();
             let _removed_or_away = node.store.remove(Kind::Verdicts, &name).await;
         }
     });
 }
 
-/// Writes a verdict to the store, until it is there or a newer one is.
+/// Writes a decision to the store; retries until the store has it or a newer one.
 async fn store_decision<E: Edge>(node: Arc<Node<E>>, decision: QuarantineDecision) {
     let name = decision.request.to_string();
     let content = Content::Verdict(decision);
@@ -155,8 +157,8 @@
     }
 }
 
-/// Reads the verdicts that the store keeps, once, as soon as this instance is one of those that ask the store.
-/// The others copy them from it.
+/// Reads the stored decisions once, as soon as this instance follows the store. The other instances copy them
+/// from it.
 pub(super) async fn load_decisions<E: Edge>(node: Arc<Node<E>>) {
     node.wait_for_peer_list().await;
     let mut backoff = STORE_BACKOFF[0];
