--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,13 +1,13 @@
-//! The clock that leases and silence are measured by.
+//! The clock for leases and for timeouts of unresponsive peers.
 
 use bluebellstage_core::Time;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Reads the time since the machine booted, time spent suspended included.
+/// Returns the time since the machine booted, including time spent suspended.
 ///
-/// A monotonic clock that stands still in suspension would let a machine that wakes up take an
-/// expired lease for a valid one and give orders beside the new holder. This clock goes on, so the
-/// lease is seen as expired at the first look.
+/// With a monotonic clock that stops during suspension, a machine that resumes would consider an expired
+/// lease valid and send orders concurrently with the new holder. This clock continues, so the first check
+/// finds the lease expired.
 #[must_use]
 pub fn boot_time() -> Time {
     let at = clock_gettime(ClockId::Boottime);
--- a/crates/gateway/src/decide/reload.rs
+++ b/crates/gateway/src/decide/reload.rs
@@ -1,6 +1,6 @@
 //! Reloading of settings while the process runs.
 
-use crate::settings::{NodeSettings, Terms};
+use crate::settings::{NodeSettings, ReloadableSettings};
 
 /// Result of comparing reloaded settings with the running ones.
 #[derive(Clone, Debug, PartialEq)]
@@ -10,7 +10,7 @@
     /// Some settings changed.
     Changed {
         /// Terms to apply now, if any of them changed.
-        terms: Option<Terms>,
+        terms: Option<ReloadableSettings>,
         /// Changed keys that are read only at startup; they take effect after a restart.
         at_restart: Vec<&'static str>,
     },
@@ -20,7 +20,7 @@
 ///
 /// Addresses and the name identify the process to its peers and callers, so they stay the same until it ends.
 #[must_use]
-pub fn compare(running: &NodeSettings, terms: &Terms, read: NodeSettings) -> Reload {
+pub fn compare(running: &NodeSettings, terms: &ReloadableSettings, read: NodeSettings) -> Reload {
     let mut member = read.member;
     // Each reading creates a new incarnation; the process keeps its own.
     member.incarnation = running.member.incarnation;
@@ -33,7 +33,7 @@
     ];
     let differing = differing.into_iter().filter(|(_, differs)| *differs);
     let at_restart = differing.map(|(key, _)| key).collect::<Vec<_>>();
-    let terms = (read.terms != *terms).then_some(read.terms);
+    let terms = (read.reloadable != *terms).then_some(read.reloadable);
     if terms.is_none() && at_restart.is_empty() {
         return Reload::Unchanged;
     }
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -1,6 +1,6 @@
-//! The edges of the process: what a deployment supplies.
+//! Interfaces to the outside of the process, which a deployment implements.
 //!
-//! Implementations hold names and formats and decide nothing.
+//! Implementations define names and formats; they make no decisions.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -22,49 +22,49 @@
 use crate::error::{GatewayError, StoreError};
 use crate::settings::NodeSettings;
 
-/// A deployment: its formats and its store.
+/// A deployment: its wire formats, store and settings.
 pub trait Edge: Debug + Send + Sync + 'static {
-    /// How callers and targets speak.
+    /// Wire format of callers and targets.
     type Protocol: Protocol;
-    /// Where lasting state is kept.
+    /// The store of persistent state.
     type Store: ObjectStore;
-    /// Where the settings are.
+    /// The source of the settings.
     type Settings: SettingsSource;
 }
 
-/// A request that isn't one.
+/// A malformed request of a caller.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("bad request: {0}")]
 pub struct BadRequest(pub Box<str>);
 
-/// How callers and targets speak.
+/// Wire format of callers and targets.
 pub trait Protocol: Debug + Send + Sync + 'static {
     /// Decodes a caller's request.
     ///
     /// # Errors
     ///
-    /// The request lacks what every request must have, or has it malformed.
+    /// A required part of the request is missing or malformed.
     fn call(&self, head: &request::Parts) -> Result<Call, BadRequest>;
 
-    /// Headers of the request to a target.
+    /// Returns the headers of the request to a target.
     fn forward_headers(&self, head: &request::Parts, forward: &Forward<'_>) -> HeaderMap;
 
-    /// Decodes the head of a target's answer.
+    /// Decodes the head of a target's response.
     fn response_head(&self, head: &response::Parts) -> ResponseHead;
 
-    /// Headers of a target's answer that go on to the caller.
+    /// Returns the headers of a target's response that are forwarded to the caller.
     fn response_headers(&self, head: &response::Parts) -> HeaderMap;
 
-    /// Body of an answer of our own.
+    /// Returns the body of a response that the instance itself generates.
     fn error_body(&self, message: &str) -> Bytes;
 
-    /// The call that reads an engine's report.
+    /// Returns the request that reads an engine's report.
     fn report_request(&self, target: &Target) -> Request<Bytes>;
 
-    /// Decodes an engine's report; none if it isn't one.
+    /// Decodes an engine's report; `None` if it is malformed.
     fn report(&self, body: &[u8]) -> Option<Report>;
 
-    /// The call that gives an engine an order.
+    /// Returns the request that sends an order to an engine.
     fn order_request(
         &self,
         target: &Target,
@@ -73,58 +73,58 @@
         fencing: u64,
     ) -> Request<Bytes>;
 
-    /// Decodes an engine's answer to an order.
+    /// Decodes an engine's response to an order.
     fn order_outcome(&self, status: StatusCode) -> OrderOutcome;
 
-    /// Whether a caller asks which addresses to use; the failure domain that it names.
+    /// Returns `Some` if a caller asks which addresses to use, with the failure domain if the request names one.
     fn is_resolve(&self, head: &request::Parts) -> Option<Option<Box<str>>>;
 
-    /// Body of the answer to that question.
+    /// Returns the body of the response to an address lookup; callers may keep the addresses for `keep`.
     fn resolve_body(&self, addresses: &[SocketAddr], keep: Duration) -> Bytes;
 
-    /// Whether the platform asks if the instance is ready.
+    /// Whether the request is a readiness check of the platform.
     fn is_readiness(&self, head: &request::Parts) -> bool;
 }
 
-/// Where the settings of the process are.
+/// The source of the process's settings.
 pub trait SettingsSource: Debug + Send + Sync + 'static {
-    /// Reads the settings as they are now.
+    /// Reads the current settings.
     ///
     /// # Errors
     ///
-    /// They can't be read, or don't say what they must.
+    /// The settings can't be read or are invalid.
     fn read(&self) -> Result<NodeSettings, GatewayError>;
 }
 
-/// An object's content, decoded.
+/// The decoded content of an object.
 #[derive(Clone, Debug)]
 pub enum Content {
     /// The configuration.
     Config(Box<Config>),
     /// A target.
     Target(Box<Target>),
-    /// An adapter's newest version.
+    /// The newest version of an adapter.
     AdapterVersion(VersionedAdapter),
     /// An instance.
     Member(Box<Member>),
     /// A lease.
     Lease(LeaseRecord),
-    /// A verdict on a request.
-    Verdict(QuarantineDecision),
-    /// Written by somebody else, or wrongly: why it names nothing.
+    /// A quarantine decision on a request.
+    QuarantineDecision(QuarantineDecision),
+    /// The object can't be decoded; contains the cause. It was written by another program, or is malformed.
     Malformed(Box<str>),
 }
 
-/// An object.
+/// An object of the store.
 #[derive(Clone, Debug)]
 pub struct Object {
-    /// Its name.
+    /// The object's name.
     pub name: Box<str>,
     /// Revision of its last change.
     pub revision: Revision,
-    /// It was removed.
+    /// Whether the object was removed.
     pub removed: bool,
-    /// What it says; none if it was removed.
+    /// The content; `None` if the object was removed.
     pub content: Option<Content>,
 }
 
@@ -137,15 +137,15 @@
     pub revision: Revision,
 }
 
-/// The store that keeps what must last.
+/// The store of persistent state.
 pub trait ObjectStore: Debug + Send + Sync + 'static {
     /// Lists all objects of a kind.
     fn list(&self, kind: Kind) -> impl Future<Output = Result<Listing, StoreError>> + Send;
 
     /// Waits up to `wait` for changes after a revision.
     ///
-    /// A call that the store never answers must end with an error less than a second after `wait`:
-    /// until then nobody asks anew, and news are late by as much.
+    /// A call without a response must fail less than a second after `wait`: until then no new call is started,
+    /// and changes are received late by as much.
     fn watch(
         &self,
         kind: Kind,
@@ -153,14 +153,14 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Listing, StoreError>> + Send;
 
-    /// Reads one object; none if it isn't there.
+    /// Reads one object; `None` if it does not exist.
     fn read(
         &self,
         kind: Kind,
         name: &str,
     ) -> impl Future<Output = Result<Option<Object>, StoreError>> + Send;
 
-    /// Writes an object: creates it, or replaces it at a revision. Gives the new revision.
+    /// Creates an object, or replaces it at a revision. Returns the new revision.
     fn write(
         &self,
         kind: Kind,
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,66 +1,66 @@
-//! Errors of this crate; each message names the remedy.
+//! Errors of this crate. Each message says what to do.
 
 use std::io;
 use std::net::SocketAddr;
 
-/// What stops an instance or one of its tasks.
+/// An error of an instance or of one of its tasks.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum GatewayError {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[error("can't listen on {address} ({cause}): free the port or name another in the settings")]
     Listen {
         /// The address from the settings.
         address: SocketAddr,
-        /// The system's message.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// The settings can't be read, or are wrong.
+    /// The settings can't be read or are invalid.
     #[error("{0}")]
     Settings(Box<str>),
-    /// A signal handler can't be set.
+    /// A signal handler can't be installed.
     #[error("can't watch for signals ({cause}): run where signals may be handled")]
     Signal {
-        /// The system's message.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// A peer's or target's answer doesn't parse.
-    #[error("{from} sent {what} that doesn't parse ({cause}): look at its version")]
+    /// A response of a peer or target can't be decoded.
+    #[error("{from} sent {what} that can't be decoded ({cause}): check its version")]
     Unreadable {
-        /// Who sent it.
+        /// The sender.
         from: Box<str>,
         /// What was expected.
         what: &'static str,
-        /// The parser's message.
+        /// The decoder's error.
         cause: Box<str>,
     },
     /// An exchange with a peer or target failed.
-    #[error("no answer from {address} ({cause}): it is tried again")]
+    #[error("no response from {address} ({cause}): the request is retried")]
     Exchange {
-        /// Whom the call went to.
+        /// Address of the request's destination.
         address: SocketAddr,
         /// What went wrong.
         cause: Box<str>,
     },
 }
 
-/// Why a call to the object store gave no result.
+/// An error of a call to the object store.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum StoreError {
-    /// The object is at another revision than the caller expected, or there already.
+    /// The object is at another revision than expected, or already exists.
     #[error("the object has changed: read it again, then retry")]
     Conflict,
-    /// The object isn't there.
+    /// The object does not exist.
     #[error("no such object: create it first")]
     Missing,
-    /// The changes asked for are no longer kept.
-    #[error("the history is gone: list again")]
+    /// The store no longer keeps the requested changes.
+    #[error("the requested changes are no longer kept: list again")]
     HistoryGone,
-    /// The store refused and did nothing.
-    #[error("the store refused with status {0}: try later")]
+    /// The store rejected the call and changed nothing.
+    #[error("the store rejected the call with status {0}: try again later")]
     Refused(u16),
-    /// No answer: a write may have happened or may still happen.
-    #[error("no answer from the store ({0}): try later")]
-    NoAnswer(Box<str>),
+    /// No response was received: a write may have happened or may still happen.
+    #[error("no response from the store ({0}): try again later")]
+    NoResponse(Box<str>),
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
 //! Direct dispatch of requests to targets.
 //!
-//! Each instance decides by itself where a request goes: by the configuration, the list of targets,
-//! what its peers tell, and what it saw of each target. [`decide`] holds these decisions as plain
-//! state machines without sockets, clocks or tasks; [`net`] carries them out. A deployment supplies
-//! the formats through the traits of [`edge`].
+//! Each instance decides locally where to send a request, based on the configuration, the list of targets,
+//! the state that its peers publish, and the outcomes that it observed at each target. [`decide`] makes
+//! these decisions with plain state machines without sockets, clocks or tasks; [`net`] carries them out. A
+//! deployment supplies the formats through the traits of [`edge`].
 
 pub mod clock;
 pub mod decide;
--- a/crates/gateway/src/log_line.rs
+++ b/crates/gateway/src/log_line.rs
@@ -1,4 +1,4 @@
-//! The form of log lines: one line of `key=value` fields for each event.
+//! Format of log lines: one line of `key=value` fields per event.
 
 use std::fmt;
 use std::io::Write;
@@ -7,7 +7,7 @@
 use log::Record;
 use log::kv::{Key, Value, VisitSource};
 
-/// Writes an event as one line: time, level, `code=BS…`, its fields, its summary.
+/// Writes an event as one line: time, level, `code=BS…`, fields, summary.
 ///
 /// # Errors
 ///
--- a/crates/gateway/src/net/control.rs
+++ b/crates/gateway/src/net/control.rs
@@ -44,7 +44,7 @@
     pub(super) targets: Revision,
     pub(super) targets_digest: u32,
     pub(super) versions: u64,
-    pub(super) verdicts_digest: u64,
+    pub(super) decisions_digest: u64,
     /// Whether the peer knows the other instances.
     pub(super) members: bool,
 }
@@ -57,12 +57,12 @@
             targets,
             targets_digest,
             versions,
-            verdicts_digest,
+            decisions_digest,
             ..
         } = self;
         write!(
             f,
-            "{config}.{targets}.{targets_digest}.{versions}.{verdicts_digest}.{members}"
+            "{config}.{targets}.{targets_digest}.{versions}.{decisions_digest}.{members}"
         )
     }
 }
@@ -79,7 +79,7 @@
             targets: Revision(next()),
             targets_digest: u32::try_from(next()).unwrap_or(0),
             versions: next(),
-            verdicts_digest: next(),
+            decisions_digest: next(),
             members: next() > 0,
         }
     }
@@ -92,7 +92,7 @@
     pub(super) config: Option<Config>,
     pub(super) targets: Option<RegistryCopy>,
     pub(super) versions: Vec<Announcement>,
-    pub(super) verdicts: Vec<AgedDecision>,
+    pub(super) decisions: Vec<AgedDecision>,
     pub(super) members: Vec<Member>,
 }
 
@@ -180,8 +180,8 @@
     if versions {
         copy.versions = tables.versions.all(now).collect();
     }
-    if tables.quarantine.digest() != known.verdicts_digest {
-        copy.verdicts = tables.quarantine.decisions(now).collect();
+    if tables.quarantine.digest() != known.decisions_digest {
+        copy.decisions = tables.quarantine.decisions(now).collect();
     }
     if !known.members {
         let peers = tables.peers.all().map(|peer| peer.member.clone());
--- a/crates/gateway/src/net/directory.rs
+++ b/crates/gateway/src/net/directory.rs
@@ -41,7 +41,7 @@
         let status = StatusCode::SERVICE_UNAVAILABLE;
         return error_response(&node.protocol, status, "no instance is ready", after);
     }
-    let ttl = node.terms().address_ttl;
+    let ttl = node.reloadable_settings().address_ttl;
     let mut res = Response::new(full_body(node.protocol.resolve_body(&addresses, ttl)));
     let json = HeaderValue::from_static("application/json");
     res.headers_mut().insert(header::CONTENT_TYPE, json);
--- a/crates/gateway/src/net/gossip.rs
+++ b/crates/gateway/src/net/gossip.rs
@@ -255,7 +255,7 @@
     node.changed.notify_waiters();
     if has_subscribers {
         for update in changed {
-            node.residency_updates.pass_on(update);
+            node.residency_updates.forward(update);
         }
     }
 }
--- a/crates/gateway/src/net/http_client.rs
+++ b/crates/gateway/src/net/http_client.rs
@@ -61,8 +61,8 @@
         let mut connection = open(address).await?;
         exchange(address, &mut connection, req).await
     };
-    let answered = tokio::time::timeout(timeout, calling).await;
-    answered.map_err(|elapsed| failed(address, &elapsed))?
+    let result = tokio::time::timeout(timeout, calling).await;
+    result.map_err(|elapsed| failed(address, &elapsed))?
 }
 
 /// Sends a request to a target, on a pooled connection if there is one.
@@ -78,10 +78,10 @@
             Some(connection) => connection,
             None => open(address).await?,
         };
-        let answer = exchange(address, &mut connection, req).await?;
+        let response = exchange(address, &mut connection, req).await?;
         node.pool.put(target, connection, None);
-        Ok(answer)
+        Ok(response)
     };
-    let answered = tokio::time::timeout(timeout, calling).await;
-    answered.map_err(|elapsed| failed(address, &elapsed))?
+    let result = tokio::time::timeout(timeout, calling).await;
+    result.map_err(|elapsed| failed(address, &elapsed))?
 }
--- a/crates/gateway/src/net/local_response.rs
+++ b/crates/gateway/src/net/local_response.rs
@@ -1,4 +1,4 @@
-//! Answers of our own.
+//! Responses that the instance itself generates.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 use crate::decide::tables::Refusal;
 use crate::edge::Protocol;
 
-/// Body of any answer.
+/// Body of any response.
 pub(super) type ResponseBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// A body that is at hand.
+/// Returns a body of the given bytes.
 pub(super) fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// An answer of our own.
+/// Returns a response with a message of this instance.
 pub(super) fn error_response<P: Protocol>(
     protocol: &P,
     status: StatusCode,
@@ -41,19 +41,18 @@
     res
 }
 
-/// Shortest time until a refused caller returns. Early enough to be served in time on its second
-/// try.
+/// Minimum delay before a rejected caller retries. Short enough that the second attempt can be served in time.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(80);
-/// Callers that are refused in the same moment come back over this span, not together.
+/// Range over which the retries of callers that are rejected at the same moment are spread.
 const RETRY_AFTER_SPREAD: Duration = Duration::from_millis(240);
 
-/// When a caller that met full or missing targets is to return.
+/// Returns a random delay after which a caller should retry when targets are full or missing.
 pub(super) fn spread_retry_after() -> Duration {
     let fraction = rand::rng().random_range(0.0..1.0);
     MIN_RETRY_AFTER + RETRY_AFTER_SPREAD.mul_f64(fraction)
 }
 
-/// The answer to a refusal; every status below says that the request has not run.
+/// Returns the response to a rejected request. Every status below means that the request has not run.
 pub(super) fn refusal_response<P: Protocol>(
     protocol: &P,
     refusal: &Refusal,
--- a/crates/gateway/src/net/metrics.rs
+++ b/crates/gateway/src/net/metrics.rs
@@ -175,8 +175,8 @@
     }
 
     /// Counts an order to an engine by its outcome.
-    pub(super) fn order_ended(&self, answer: &'static str) {
-        self.orders.add(1, &[KeyValue::new("answer", answer)]);
+    pub(super) fn order_ended(&self, outcome: &'static str) {
+        self.orders.add(1, &[KeyValue::new("answer", outcome)]);
     }
 
     /// Counts a finished watch or list of the store.
--- a/crates/gateway/src/net/node.rs
+++ b/crates/gateway/src/net/node.rs
@@ -12,7 +12,7 @@
 use crate::decide::tables::Tables;
 use crate::edge::Edge;
 use crate::packet::{AdapterRequest, Packet};
-use crate::settings::{NodeSettings, Terms};
+use crate::settings::{NodeSettings, ReloadableSettings};
 
 use super::crash_check::CrashChecks;
 use super::leases::Leases;
@@ -42,9 +42,9 @@
 /// State that the tasks of an instance share.
 #[derive(Debug)]
 pub struct Node<E: Edge> {
-    /// The settings at the start; [`Node::terms`] has the current values of those that may change.
+    /// The settings at the start; [`Node::reloadable_settings`] has the current values of those that may change.
     pub settings: NodeSettings,
-    terms: Mutex<Terms>,
+    reloadable_settings: Mutex<ReloadableSettings>,
     /// Wire format of callers and targets.
     pub protocol: E::Protocol,
     /// The store of persistent state.
@@ -88,12 +88,12 @@
         protocol: E::Protocol,
         store: E::Store,
     ) -> (Self, mpsc::Receiver<Outgoing>) {
-        let mut tables = Tables::new(settings.member.clone(), settings.terms.retry_budget);
+        let mut tables = Tables::new(settings.member.clone(), settings.reloadable.retry_budget);
         tables.started = boot_time();
         let (outgoing, packets) = mpsc::channel(OUTGOING_QUEUE);
         let leases = Leases::new(&settings.member.name, settings.handover);
         let node = Self {
-            terms: Mutex::new(settings.terms.clone()),
+            reloadable_settings: Mutex::new(settings.reloadable.clone()),
             settings,
             protocol,
             store,
@@ -126,14 +126,17 @@
 
     /// Locks the current reloadable settings. They have a lock of their own, which must not be taken while the
     /// lock of the tables is held.
-    pub fn terms(&self) -> MutexGuard<'_, Terms> {
-        self.terms.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn reloadable_settings(&self) -> MutexGuard<'_, ReloadableSettings> {
+        self.reloadable_settings
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Replaces the reloadable settings.
-    pub(super) fn set_terms(&self, terms: Terms) {
-        self.tables().set_retry_budget(terms.retry_budget);
-        *self.terms() = terms;
+    pub(super) fn set_reloadable_settings(&self, reloadable_settings: ReloadableSettings) {
+        self.tables()
+            .set_retry_budget(reloadable_settings.retry_budget);
+        *self.reloadable_settings() = reloadable_settings;
     }
 
     /// Returns the current time.
--- a/crates/gateway/src/net/peer_copy.rs
+++ b/crates/gateway/src/net/peer_copy.rs
@@ -88,7 +88,7 @@
 
 /// Returns the addresses that an instance without a configuration asks for a copy.
 fn startup_sources<E: Edge>(node: &Node<E>) -> Vec<SocketAddr> {
-    let seeds = node.terms().seeds.clone();
+    let seeds = node.reloadable_settings().seeds.clone();
     let tables = node.tables();
     let mut sources = tables.copy_sources(node.now());
     let first = sources.len().min(FIRST_SOURCE_CANDIDATES);
@@ -106,7 +106,7 @@
         targets: tables.registry.copied_revision(),
         targets_digest: tables.registry.digest(),
         versions: tables.versions.total(),
-        verdicts_digest: tables.quarantine.digest(),
+        decisions_digest: tables.quarantine.digest(),
         members: tables.peers.all().next().is_some(),
     }
 }
@@ -141,7 +141,7 @@
         );
     }
     let mut tables = node.tables();
-    for AgedDecision { decision, age } in copy.verdicts {
+    for AgedDecision { decision, age } in copy.decisions {
         tables.quarantine.adopt(decision, age, now);
     }
     for member in copy.members {
--- a/crates/gateway/src/net/quarantine.rs
+++ b/crates/gateway/src/net/quarantine.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// Tells again what was told lately, `elapsed` after the round before.
+/// Sends recent messages again, `elapsed` after the previous round.
 pub(super) fn resend<E: Edge>(node: &Node<E>, elapsed: Duration) {
     let messages = node.tables().quarantine.messages_for_round(elapsed);
     send(node, &Destination::Fleet, messages);
@@ -131,7 +131,7 @@
 /// Writes a decision to the store; retries until the store has it or a newer one.
 async fn store_decision<E: Edge>(node: Arc<Node<E>>, decision: QuarantineDecision) {
     let name = decision.request.to_string();
-    let content = Content::Verdict(decision);
+    let content = Content::QuarantineDecision(decision);
     let mut backoff = STORE_BACKOFF[0];
     let mut at = None;
     loop {
@@ -141,7 +141,7 @@
                 let found = node.store.read(Kind::Verdicts, &name).await;
                 if let Ok(Some(found)) = found {
                     let stored = match found.content {
-                        Some(Content::Verdict(stored)) => Some(stored),
+                        Some(Content::QuarantineDecision(stored)) => Some(stored),
                         _ => None,
                     };
                     if stored.is_some_and(|stored| !decision.replaces(&stored)) {
--- a/crates/gateway/src/net/reload.rs
+++ b/crates/gateway/src/net/reload.rs
@@ -1,4 +1,4 @@
-//! Takes over settings that change while the process runs.
+//! Applies settings that change while the process runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use super::log::{LogEvent, event};
 use super::node::Node;
 
-/// Pause between looks at the settings without a signal. Nothing in them is urgent, and a look costs
-/// a read of a file of 2 KB.
+/// Interval at which the settings are read without a signal. No setting is urgent, and a read costs one file of
+/// 2 KB.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Reads the settings at each SIGHUP, and now and then without one, until the process ends.
+/// Reads the settings on each SIGHUP and periodically, until the process ends.
 pub(super) fn run<E: Edge>(node: Arc<Node<E>>, source: E::Settings) -> Result<(), GatewayError> {
     let mut hangup =
         signal(SignalKind::hangup()).map_err(|cause| GatewayError::Signal { cause })?;
@@ -37,10 +37,10 @@
     Ok(())
 }
 
-/// What a look at the settings found.
+/// Result of reading the settings.
 enum PollOutcome {
     Unchanged,
-    /// `any_applied`: some are in force now.
+    /// `any_applied`: some changes were applied. `at_restart`: keys whose changes need a restart.
     Applied {
         any_applied: bool,
         at_restart: String,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Keys that wait for a restart, and a file that stays unreadable, are told of once.
+    /// Keys that wait for a restart, and a file that stays unreadable, are logged only once.
     fn should_log(&self, last_logged: &str) -> bool {
         match self {
             Self::Unchanged => false,
@@ -90,13 +90,13 @@
             };
         }
     };
-    let compared = compare(&node.settings, &node.terms(), read);
+    let compared = compare(&node.settings, &node.reloadable_settings(), read);
     match compared {
         Reload::Unchanged => PollOutcome::Unchanged,
         Reload::Changed { terms, at_restart } => {
             let any_applied = terms.is_some();
             if let Some(terms) = terms {
-                node.set_terms(terms);
+                node.set_reloadable_settings(terms);
             }
             PollOutcome::Applied {
                 any_applied,
--- a/crates/gateway/src/net/residency_updates.rs
+++ b/crates/gateway/src/net/residency_updates.rs
@@ -1,8 +1,9 @@
-//! Words on what engines hold, told to all instances in batches.
+//! Updates of the adapters resident on engines, sent to all instances in batches.
 //!
-//! A load changes what one engine holds, and every instance must hear of it to send requests there.
-//! One datagram a load and peer would be thousands a second in a large fleet; whoever waits for the load
-//! is told at once, the others with the next batch, in a large fleet through the relays.
+//! A load changes the resident adapters of one engine, and every instance must receive that update to send
+//! requests there. One datagram per load and peer would be thousands a second in a large fleet. Instances that
+//! wait for the load get the update immediately; the others get it with the next batch, in a large fleet
+//! through the relays.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -17,52 +18,52 @@
 use super::node::{Destination, Node};
 use super::quarantine;
 
-/// Pause between two batches.
-const BATCH_EVERY: Duration = Duration::from_millis(25);
+/// Interval between two batches.
+const BATCH_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Words that wait for the next batch; a newer one on an engine replaces the one before.
+/// Updates queued for the next batch; a newer update of an engine replaces the previous one.
 #[derive(Debug, Default)]
 pub(super) struct ResidencyQueue {
-    /// For all instances.
-    own: Mutex<HashMap<TargetId, ResidencyUpdate>>,
-    /// From others, for those that ask this instance for news.
-    passed_on: Mutex<HashMap<TargetId, ResidencyUpdate>>,
+    /// Updates for all instances.
+    local: Mutex<HashMap<TargetId, ResidencyUpdate>>,
+    /// Updates from other instances, for the subscribers of this instance.
+    forwarded: Mutex<HashMap<TargetId, ResidencyUpdate>>,
 }
 
-fn queue(waiting: &Mutex<HashMap<TargetId, ResidencyUpdate>>, word: ResidencyUpdate) {
+fn queue(waiting: &Mutex<HashMap<TargetId, ResidencyUpdate>>, update: ResidencyUpdate) {
     let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-    waiting.insert(word.target.clone(), word);
+    waiting.insert(update.target.clone(), update);
 }
 
 fn take(waiting: &Mutex<HashMap<TargetId, ResidencyUpdate>>) -> Vec<ResidencyUpdate> {
     let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-    waiting.drain().map(|(_, word)| word).collect()
+    waiting.drain().map(|(_, update)| update).collect()
 }
 
 impl ResidencyQueue {
-    /// Queues a word for all instances.
-    pub(super) fn queue(&self, word: ResidencyUpdate) {
-        queue(&self.own, word);
+    /// Queues an update for all instances.
+    pub(super) fn queue(&self, update: ResidencyUpdate) {
+        queue(&self.local, update);
     }
 
-    /// Queues another instance's word for those that ask this one for news.
-    pub(super) fn pass_on(&self, word: ResidencyUpdate) {
-        queue(&self.passed_on, word);
+    /// Queues another instance's update for the subscribers of this instance.
+    pub(super) fn forward(&self, update: ResidencyUpdate) {
+        queue(&self.forwarded, update);
     }
 }
 
-/// Sends what waits until the process ends.
+/// Sends the queued updates until the process ends.
 pub(super) async fn run<E: Edge>(node: &Node<E>) {
     loop {
-        tokio::time::sleep(BATCH_EVERY).await;
+        tokio::time::sleep(BATCH_INTERVAL).await;
         for batch in batches(
-            take(&node.residency_updates.own),
+            take(&node.residency_updates.local),
             ResidencyUpdate::estimated_bytes,
         ) {
             node.send(Destination::Fleet, Packet::ResidencyUpdates(batch));
         }
         for batch in batches(
-            take(&node.residency_updates.passed_on),
+            take(&node.residency_updates.forwarded),
             ResidencyUpdate::estimated_bytes,
         ) {
             node.send(Destination::Subscribers, Packet::ResidencyUpdates(batch));
--- a/crates/gateway/src/net/run.rs
+++ b/crates/gateway/src/net/run.rs
@@ -15,10 +15,10 @@
 use super::sockets::listen;
 use super::{follow, gossip, leases, loaders, peer_copy, quarantine, reload, stop, sync};
 
-/// Pause between housekeepings.
+/// Interval between two removals of expired state.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Serves until a planned stop is done.
+/// Runs the instance until a planned stop has finished.
 ///
 /// # Errors
 ///
@@ -44,8 +44,8 @@
         tokio::spawn(serve(Arc::clone(&node), listener, listener_kind));
     }
     if let Some(address) = settings.metrics {
-        // Another process of this machine may have the port: callers are served all the same, and
-        // the control address tells the metrics, too.
+        // Another process on this machine may use the port. Callers are served all the same, and the
+        // control address serves the metrics, too.
         match listen(address) {
             Ok(listener) => {
                 tokio::spawn(serve(Arc::clone(&node), listener, ListenerKind::Control));
--- a/crates/gateway/src/net/sockets.rs
+++ b/crates/gateway/src/net/sockets.rs
@@ -1,4 +1,4 @@
-//! Options of the sockets.
+//! Sockets and their options.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,15 +6,15 @@
 use socket2::{Domain, SockRef, Socket, TcpKeepalive, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Unacknowledged bytes or a connection that is being made fail after this long; without it a
-/// connection into a cut network hangs for minutes.
+/// Time after which unacknowledged bytes or an unfinished connect fail. Without it a connection over a
+/// partitioned network hangs for minutes.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Idle time before a probe: an open connection may go silent for good without a reset.
+/// Idle time before a keepalive probe: an open connection may become unresponsive without a reset.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
-/// Connections that wait to be accepted; a full queue costs the caller a second.
+/// Length of the accept queue. A full queue costs the caller a second.
 const BACKLOG: i32 = 1_024;
 
-/// Sets the options of a connection; one that can't be set costs speed or a later timeout, no more.
+/// Sets the options of a connection. A failure is only logged: it costs speed or makes a timeout later.
 pub(super) fn set_options(stream: &TcpStream) {
     let sock = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -33,7 +33,7 @@
     }
 }
 
-/// Listens on an address.
+/// Opens a listener on an address.
 pub(super) fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let sock = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     sock.set_reuse_address(true)?;
@@ -43,7 +43,7 @@
     TcpListener::from_std(sock.into())
 }
 
-/// Connects within a time.
+/// Connects to an address; fails with `TimedOut` after `timeout`.
 pub(super) async fn connect(address: SocketAddr, timeout: Duration) -> std::io::Result<TcpStream> {
     let connecting = tokio::time::timeout(timeout, TcpStream::connect(address));
     let stream = connecting
--- a/crates/gateway/src/net/stop.rs
+++ b/crates/gateway/src/net/stop.rs
@@ -16,14 +16,14 @@
 use super::log::{LogEvent, event};
 use super::node::Node;
 
-/// Time kept back before the kill.
+/// Margin before the process is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
-/// Pause between looks at open connections.
+/// Interval of the checks of open connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest time for the last words to the store.
+/// Timeout for the last writes to the store.
 const FINAL_STORE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Waits for the order to stop, then serves on until callers have gone elsewhere.
+/// Waits for SIGTERM, then continues to serve until callers use other instances.
 pub(super) async fn wait<E: Edge>(node: Arc<Node<E>>) -> Result<(), GatewayError> {
     let mut term =
         signal(SignalKind::terminate()).map_err(|cause| GatewayError::Signal { cause })?;
@@ -43,12 +43,12 @@
         }
     };
     let unregistering = tokio::spawn(tokio::time::timeout(FINAL_STORE_TIMEOUT, unregistering));
-    let terms = node.terms().clone();
-    let stop_time = terms.stop_timeout.saturating_sub(KILL_MARGIN);
-    // Loads go on for as long as requests do; the leases are given up just before the end.
+    let reloadable_settings = node.reloadable_settings().clone();
+    let stop_time = reloadable_settings.stop_timeout.saturating_sub(KILL_MARGIN);
+    // Loads continue as long as requests do; the leases are released just before the end.
     let release_after = stop_time.saturating_sub(FINAL_STORE_TIMEOUT);
     let mut lease_release = None;
-    let close_after = refuse_after(terms.address_ttl, stop_time);
+    let close_after = refuse_after(reloadable_settings.address_ttl, stop_time);
     loop {
         let elapsed = node.now().since(stop_requested_at);
         if elapsed >= close_after && !node.is_closing() {
@@ -63,7 +63,7 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    // What the store did not hear in time it learns from the next start, or never needs to.
+    // A removal that the store does not receive in time is made up for by the next start, or is not needed.
     let _removed_or_late = unregistering.await;
     if let Some(lease_release) = lease_release {
         let _released_or_late = lease_release.await;
--- a/crates/gateway/src/net/stream.rs
+++ b/crates/gateway/src/net/stream.rs
@@ -1,4 +1,4 @@
-//! Relays a stream of events, and goes on at another target where the route allows it.
+//! Forwards a stream of events to the caller, and resumes it at another target if the route allows that.
 
 use std::io;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use super::local_response::ResponseBody;
 use super::log::{LogEvent, event};
 
-/// Silence of a target, in multiples of the route's longest pause, after which its stream goes on
-/// elsewhere. Callers give up after eight.
+/// Time without an event, as a multiple of the route's target gap between events, after which the stream is
+/// resumed at another target. Callers time out after eight.
 const GAP_FACTOR: u32 = 4;
-/// The same in multiples of the target latency, before the first event.
+/// The same before the first event, as a multiple of the target latency.
 const FIRST_EVENT_FACTOR: u32 = 3;
-/// Least silence that counts.
+/// Minimum of these timeouts.
 const MIN_STREAM_TIMEOUT: Duration = Duration::from_millis(900);
 
 #[derive(Debug)]
@@ -40,12 +40,12 @@
     Broken(StreamFailure),
 }
 
-/// Why a target's stream can't go on.
+/// Why a target's stream can't continue.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum StreamFailure {
-    /// Its connection ended.
+    /// The connection ended.
     Interrupted(&'static str),
-    /// It is connected and useless.
+    /// The target is connected but its stream can't be used.
     Unusable(&'static str),
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// The response to the caller; its events come as the target makes them.
+/// Returns the response to the caller; its body forwards the events as the target sends them.
 pub(super) fn forward<E: Edge>(job: Job<E>, response: TargetResponse<E>) -> Response<ResponseBody> {
     let (parts, source) = response.into_stream();
     let splitter = EventSplitter::new(job.call.resume_after);
@@ -81,7 +81,7 @@
 }
 
 impl<E: Edge> StreamForwarder<E> {
-    /// The next events; none at the end.
+    /// Returns the next events, or `None` at the end of the stream.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             let failure = match self.next_chunk().await {
@@ -94,7 +94,7 @@
                     SplitResult::Invalid => StreamFailure::Unusable("events out of order"),
                 },
                 Chunk::End if self.splitter.is_mid_event() => {
-                    StreamFailure::Interrupted("the stream ended in an event")
+                    StreamFailure::Interrupted("the stream ended in the middle of an event")
                 }
                 Chunk::End if !self.has_started => {
                     StreamFailure::Interrupted("the stream ended before its first event")
@@ -149,15 +149,15 @@
                 Ok(data) => Chunk::Data(data),
                 Err(_trailers) => Chunk::Data(Bytes::new()),
             },
-            Ok(Some(Err(_cut))) => {
-                Chunk::Broken(StreamFailure::Interrupted("the target broke off"))
-            }
+            Ok(Some(Err(_cut))) => Chunk::Broken(StreamFailure::Interrupted(
+                "the connection to the target broke",
+            )),
             Ok(None) => Chunk::End,
             Err(_elapsed) => Chunk::Broken(StreamFailure::Unusable("the target fell silent")),
         }
     }
 
-    /// Finds another target that goes on after the last event that the caller has.
+    /// Resumes the stream at another target after the last event that the caller has received.
     async fn resume(&mut self, failure: StreamFailure) -> io::Result<()> {
         let reason = failure.reason();
         let mut target = String::new();
@@ -166,7 +166,7 @@
             target = source.in_flight.target.to_string();
             self.job.tried.push(source.in_flight.target.clone());
             let (id, run_time) = (source.in_flight.target.clone(), source.in_flight.run_time());
-            // Its connection is closed: the target stops before another begins.
+            // The connection is closed, so that this target stops before another one starts.
             drop(source);
             if let StreamFailure::Interrupted(_) = failure {
                 self.job
--- a/crates/gateway/src/net/sync.rs
+++ b/crates/gateway/src/net/sync.rs
@@ -1,4 +1,4 @@
-//! Takes in what the store tells, and registers this instance there.
+//! Applies objects and changes from the store, and registers this instance there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use super::log::{LogEvent, event};
 use super::node::Node;
 
-/// First and longest pause between tries to register.
+/// Initial and max backoff between attempts to register.
 const REGISTER_BACKOFF: [Duration; 2] = [Duration::from_millis(150), Duration::from_secs(1)];
 
-/// Takes in a list or changes of one kind.
+/// Applies a full list, or changes, of one kind of objects.
 pub(super) fn apply<E: Edge>(node: &Node<E>, kind: Kind, listing: Listing, is_full_list: bool) {
     let revision = listing.revision;
     if is_full_list && kind == Kind::Targets {
@@ -25,7 +25,7 @@
         replace_targets(node, targets, revision);
         return;
     }
-    // A list doesn't say since when its objects are there.
+    // A list does not say when its objects were announced.
     let age = if is_full_list {
         MAX_ANNOUNCEMENT_AGE
     } else {
@@ -98,9 +98,9 @@
                 remove(node, kind, &name, revision);
             }
         }
-        Some(Content::Verdict(decision)) => {
+        Some(Content::QuarantineDecision(decision)) => {
             let now = node.now();
-            // The store doesn't say how old it is.
+            // The store does not report the decision's age.
             node.tables()
                 .quarantine
                 .adopt(decision, Duration::ZERO, now);
@@ -136,7 +136,7 @@
     }
 }
 
-/// Takes in a version announced `age` ago and says where the news came `source`, the store or a peer.
+/// Applies an adapter version that was announced `age` ago, and logs its `source`: the store or a peer.
 pub(super) fn announce<E: Edge>(
     node: &Node<E>,
     announcement: &VersionedAdapter,
@@ -179,7 +179,7 @@
     tables.registry.put(target, revision, now);
 }
 
-/// Registers this instance, until it is done or the process stops.
+/// Registers this instance; retries until that succeeds or the process stops.
 pub(super) async fn register<E: Edge>(node: Arc<Node<E>>) {
     let member = node.settings.member.clone();
     let name = member.name.to_string();
--- a/crates/gateway/src/packet.rs
+++ b/crates/gateway/src/packet.rs
@@ -1,7 +1,7 @@
 //! Datagrams between instances.
 //!
-//! They go several times a second to many, so each byte counts: names go as short hashes, numbers by their
-//! size, and only what changed lately is told.
+//! They are sent several times a second to many instances, so they are kept small: names are sent as short
+//! hashes, numbers with a variable length, and only recent changes are included.
 
 use bincode::Options;
 use bluebellstage_core::{AdapterId, AdapterVersion, BaseModel, TargetId};
@@ -12,34 +12,34 @@
 use crate::decide::quarantine::QuarantineMessage;
 use crate::decide::residency::ResidencyVersion;
 
-/// Longest datagram that is read.
+/// Max size of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 16 * 1_024;
 
 /// A datagram between instances.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Packet {
-    /// How instances are.
+    /// State of instances.
     Exchange(Message),
-    /// Requests wait for adapters on an engine; goes to the holder of its shard.
+    /// Load requests and use of adapters on engines; sent to the holder of the engines' shard.
     AdapterRequests(Vec<AdapterRequest>),
-    /// What engines hold; from the holder of their shard.
+    /// Resident adapters of engines; sent by the holder of the engines' shard.
     ResidencyUpdates(Vec<ResidencyUpdate>),
-    /// Requests under which targets end.
+    /// Messages about requests under which targets crash.
     Quarantine(Vec<QuarantineMessage>),
 }
 
-/// First byte of a datagram. It tells the form; another release that changes the form changes it, and
-/// neither misreads the other.
+/// First byte of a datagram: identifies the format. A release that changes the format changes this byte, so
+/// that two releases never misread each other's datagrams.
 const FORMAT: u8 = 0xB3;
 
-/// Why a datagram isn't read.
+/// Why a datagram can't be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum PacketError {
-    /// Another release speaks, or another program.
-    #[error("another form ({0:#04x}): instances of two releases run beside each other")]
+    /// The sender is another release, or another program.
+    #[error("other datagram format ({0:#04x}): instances of two releases run side by side")]
     OtherFormat(u8),
-    /// It is cut or spoilt.
-    #[error("{0}: it is cut or spoilt; the next round repeats it")]
+    /// The datagram is truncated, corrupt or too long.
+    #[error("{0}: the datagram is truncated or corrupt; the next round repeats it")]
     Malformed(#[from] bincode::Error),
 }
 
@@ -48,11 +48,11 @@
 }
 
 impl Packet {
-    /// Encodes it.
+    /// Encodes the datagram.
     ///
     /// # Errors
     ///
-    /// It is longer than a datagram may be.
+    /// The packet is longer than a datagram may be.
     pub fn encode(&self) -> Result<Vec<u8>, PacketError> {
         let mut buf = vec![FORMAT];
         codec().serialize_into(&mut buf, self)?;
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// It is of another form, or malformed.
+    /// The datagram has another format or is malformed.
     pub fn decode(buf: &[u8]) -> Result<Self, PacketError> {
         match buf.split_first() {
             Some((&FORMAT, rest)) => Ok(codec().deserialize(rest)?),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// A short name, for metrics.
+    /// Returns a short name for metrics.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
@@ -85,50 +85,50 @@
     }
 }
 
-/// A wish for an adapter on an engine, or news of its use.
+/// A load request for an adapter on an engine, or an update of the adapter's use.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct AdapterRequest {
     /// The engine.
     pub target: TargetId,
     /// The adapter.
     pub key: AdapterKey,
-    /// Why.
+    /// What is requested or reported.
     pub kind: AdapterRequestKind,
 }
 
-/// What is said of an adapter on an engine.
+/// What is requested or reported of an adapter on an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum AdapterRequestKind {
-    /// A request waits for it, at this version or newer.
+    /// A request waits for the adapter, at this version or newer.
     Load(Option<AdapterVersion>),
-    /// A request was sent to it.
+    /// A request for the adapter was sent to the engine.
     Started,
-    /// A request that was sent to it is over.
+    /// A request for the adapter that was sent to the engine has ended.
     Ended,
-    /// The engine said that it doesn't hold it.
+    /// The engine reported that the adapter is not loaded.
     Missing,
 }
 
-/// Encoded bytes of an adapter beside its name: the name's length and the version.
+/// Encoded bytes of an adapter without its name: the name's length and the version.
 const ADAPTER_OVERHEAD_BYTES: usize = 12;
-/// Encoded bytes of the lengths of a model's name and of its list.
+/// Encoded bytes of the lengths of a model's name and of its list of adapters.
 const MODEL_OVERHEAD_BYTES: usize = 16;
-/// Encoded bytes of a word's order and of the lengths of its name and list.
+/// Encoded bytes of an update's version and of the lengths of the target's name and of the list of models.
 const UPDATE_OVERHEAD_BYTES: usize = 32;
 
-/// What an engine holds, by its loader.
+/// The usable adapters of an engine, as its loader publishes them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ResidencyUpdate {
     /// The engine.
     pub target: TargetId,
-    /// Place among all such words on this engine.
+    /// Orders the updates of this engine.
     pub order: ResidencyVersion,
-    /// Adapters that can be used, by their base model.
+    /// Usable adapters and their versions, by base model.
     pub models: Vec<(BaseModel, Vec<(AdapterId, u32)>)>,
 }
 
 impl ResidencyUpdate {
-    /// Packs the adapters of an engine.
+    /// Creates an update from the usable adapters of an engine.
     #[must_use]
     pub fn new(target: TargetId, order: ResidencyVersion, adapters: Vec<VersionedAdapter>) -> Self {
         let mut models = Vec::<(BaseModel, Vec<_>)>::new();
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Bytes that it takes in a datagram, or a little more.
+    /// Returns the number of bytes of the update in a datagram, or a little more.
     #[must_use]
     pub fn estimated_bytes(&self) -> usize {
         let models = self.models.iter().map(|(model, adapters)| {
@@ -162,7 +162,7 @@
         self.target.as_str().len() + UPDATE_OVERHEAD_BYTES + models.sum::<usize>()
     }
 
-    /// The adapters, unpacked.
+    /// Returns the adapters as a flat list.
     #[must_use]
     pub fn adapters(&self) -> Vec<VersionedAdapter> {
         let models = self.models.iter();
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an instance must know to start, and what of it may change while it runs.
+//! Settings of an instance, and which of them may change while it runs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,32 +6,32 @@
 use crate::decide::peers::Member;
 use crate::decide::retry_budget::RetryBudget;
 
-/// What an instance must know to start.
+/// Settings that an instance needs to start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// How it registers itself.
+    /// The registration of this instance.
     pub member: Member,
-    /// Where the platform asks whether it is ready.
+    /// Address of the platform's readiness checks.
     pub ready: Option<SocketAddr>,
-    /// Where callers ask which addresses to use.
+    /// Address at which callers look up the addresses of instances.
     pub directory: Option<SocketAddr>,
-    /// Where metrics are scraped.
+    /// Address at which metrics are scraped.
     pub metrics: Option<SocketAddr>,
-    /// Pause that two holders of a loader shard leave between their orders.
+    /// Minimum time between the last order of one holder of a loader shard and the first order of the next.
     pub handover: Duration,
-    /// What may change while the process runs.
-    pub terms: Terms,
+    /// Settings that may change while the process runs.
+    pub reloadable: ReloadableSettings,
 }
 
-/// Settings that are taken over while the process runs.
+/// Settings that can be reloaded while the process runs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
-    /// Where other instances may be found when the store is away.
+pub struct ReloadableSettings {
+    /// Addresses at which other instances may be found when the store is unavailable.
     pub seeds: Vec<SocketAddr>,
-    /// Limit on repeats.
+    /// Limit on retries.
     pub retry_budget: RetryBudget,
-    /// Time between the order to stop and the kill.
+    /// Time between the stop signal and the kill.
     pub stop_timeout: Duration,
-    /// How long callers may keep a list of addresses.
+    /// How long callers may cache a list of addresses.
     pub address_ttl: Duration,
 }
--- a/crates/gateway/tests/reload.rs
+++ b/crates/gateway/tests/reload.rs
@@ -13,7 +13,7 @@
     let running = settings(member("front-0", "north"));
     let mut read = running.clone();
     change(&mut read);
-    compare(&running, &running.terms, read)
+    compare(&running, &running.reloadable, read)
 }
 
 #[test]
@@ -24,7 +24,7 @@
 
 #[test]
 fn changed_terms_apply_at_once() {
-    let changed = compared(|read| read.terms.retry_budget.slack = 20.0);
+    let changed = compared(|read| read.reloadable.retry_budget.slack = 20.0);
     let Reload::Changed { terms, at_restart } = changed else {
         panic!("{changed:?}");
     };
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -25,7 +25,7 @@
 use bluebellstage_gateway::decide::status::Role;
 use bluebellstage_gateway::decide::tables::Tables;
 use bluebellstage_gateway::decide::target::Target;
-use bluebellstage_gateway::settings::{NodeSettings, Terms};
+use bluebellstage_gateway::settings::{NodeSettings, ReloadableSettings};
 
 pub const MODEL: &str = "base";
 
@@ -195,7 +195,7 @@
         directory: None,
         metrics: None,
         handover: Duration::from_secs(3),
-        terms: Terms {
+        reloadable: ReloadableSettings {
             seeds: Vec::new(),
             retry_budget: retry_budget(),
             stop_timeout: Duration::from_secs(8),
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -130,7 +130,7 @@
             }
             Fault::Unresponsive => {
                 tokio::time::sleep(timeout).await;
-                Err(StoreError::NoAnswer("no response".into()))
+                Err(StoreError::NoResponse("no response".into()))
             }
         }
     }
@@ -157,7 +157,7 @@
                 return self.respond(listing).await;
             }
             if started_at.elapsed() >= wait + WATCH_MARGIN {
-                return Err(StoreError::NoAnswer("no response".into()));
+                return Err(StoreError::NoResponse("no response".into()));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
