--- a/crates/gateway/src/net/caller.rs
+++ b/crates/gateway/src/net/http_client.rs
@@ -1,4 +1,4 @@
-//! Short calls to the store, engines and peers.
+//! HTTP client for short requests to the store, engines and peers.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,10 +16,10 @@
 use super::pool::Connection;
 use super::sockets::connect;
 
-/// Longest answer that is read.
-const LONGEST_ANSWER: usize = 8 * 1_024 * 1_024;
-/// Time for a connection.
-const CONNECT_WITHIN: Duration = Duration::from_millis(300);
+/// Max size of a response body.
+const MAX_RESPONSE_BYTES: usize = 8 * 1_024 * 1_024;
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 fn failed(address: SocketAddr, cause: &dyn fmt::Display) -> GatewayError {
     GatewayError::Exchange {
@@ -29,9 +29,9 @@
 }
 
 async fn open(address: SocketAddr) -> Result<Connection, GatewayError> {
-    let stream = connect(address, CONNECT_WITHIN).await;
+    let stream = connect(address, CONNECT_TIMEOUT).await;
     let stream = stream.map_err(|err| failed(address, &err))?;
-    let connection = Connection::over(stream).await;
+    let connection = Connection::handshake(stream).await;
     connection.map_err(|err| failed(address, &err))
 }
 
@@ -42,46 +42,46 @@
 ) -> Result<(StatusCode, Bytes), GatewayError> {
     let sent = connection.tx.send_request(req.map(Full::new)).await;
     let (head, body) = sent.map_err(|err| failed(address, &err))?.into_parts();
-    let body = Limited::new(body, LONGEST_ANSWER).collect().await;
+    let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     let body = body.map_err(|err| failed(address, &err))?;
     Ok((head.status, body.to_bytes()))
 }
 
-/// Calls a process on a connection of its own.
+/// Sends a request on a new connection and reads the complete response.
 ///
 /// # Errors
 ///
-/// No connection, no whole answer, or none within the time.
+/// The connection fails, or the response is incomplete or takes longer than `timeout`.
 pub async fn call(
     address: SocketAddr,
     req: Request<Bytes>,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<(StatusCode, Bytes), GatewayError> {
     let calling = async {
         let mut connection = open(address).await?;
         exchange(address, &mut connection, req).await
     };
-    let answered = tokio::time::timeout(within, calling).await;
-    answered.map_err(|elapsed| failed(address, &elapsed))?
+    let result = tokio::time::timeout(timeout, calling).await;
+    result.map_err(|elapsed| failed(address, &elapsed))?
 }
 
-/// Calls a target, on a kept connection if there is one.
+/// Sends a request to a target, on a pooled connection if there is one.
 pub(super) async fn call_target<E: Edge>(
     node: &Node<E>,
     target: &TargetId,
     address: SocketAddr,
     req: Request<Bytes>,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<(StatusCode, Bytes), GatewayError> {
     let calling = async {
         let mut connection = match node.pool.take(target) {
             Some(connection) => connection,
             None => open(address).await?,
         };
-        let answer = exchange(address, &mut connection, req).await?;
+        let response = exchange(address, &mut connection, req).await?;
         node.pool.put(target, connection, None);
-        Ok(answer)
+        Ok(response)
     };
-    let answered = tokio::time::timeout(within, calling).await;
-    answered.map_err(|elapsed| failed(address, &elapsed))?
+    let result = tokio::time::timeout(timeout, calling).await;
+    result.map_err(|elapsed| failed(address, &elapsed))?
 }
--- a/crates/gateway/src/net/pool.rs
+++ b/crates/gateway/src/net/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to targets.
+//! Pool of idle connections to targets.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -12,38 +12,39 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Part of a target's own idle limit for which a connection is used again. The target's clock
-/// started earlier than ours, and a request that meets the close may be lost.
-const USED_PART_OF_LIMIT: f64 = 0.6;
-/// Idle time after which a connection isn't used again where the target states no limit.
-const UNSTATED_LIMIT: Duration = Duration::from_millis(500);
-/// Longest idle time of any kept connection; silent breaks are met less often on fresh ones.
-const LONGEST_IDLE: Duration = Duration::from_secs(4);
-/// Kept connections to one target.
-const MOST_KEPT: usize = 16;
+/// Fraction of a target's idle limit for which a connection is reused. The target started its idle timer
+/// earlier than the pool, and a request that is sent while the target closes the connection may be lost.
+const IDLE_LIMIT_FRACTION: f64 = 0.6;
+/// Max idle time of a connection to a target that states no limit.
+const DEFAULT_MAX_IDLE: Duration = Duration::from_millis(500);
+/// Max idle time of any connection. The longer a connection is idle, the more likely it has broken unnoticed.
+const MAX_IDLE: Duration = Duration::from_secs(4);
+/// Max number of idle connections per target.
+const MAX_IDLE_PER_TARGET: usize = 16;
 
-/// A connection to a target; closed when dropped, so that work of a caller who left is cancelled.
+/// A connection to a target. It is closed when dropped, so that the work for a caller that disconnected is
+/// cancelled.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) tx: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// It has carried a request before.
+    /// Whether it has carried a request before.
     pub(super) reused: bool,
 }
 
 impl Connection {
-    pub(super) async fn over(stream: TcpStream) -> hyper::Result<Self> {
+    pub(super) async fn handshake(stream: TcpStream) -> hyper::Result<Self> {
         let (tx, driver) = Builder::new()
             .max_buf_size(64 * 1_024)
             .handshake(TokioIo::new(stream))
             .await?;
-        let driving = async move {
-            // The exchange that uses the connection meets the same error and tells of it.
-            let _told_by_exchange = driver.await;
+        let drive = async move {
+            // The exchange that uses the connection gets the same error and reports it.
+            let _reported_by_exchange = driver.await;
         };
         Ok(Self {
             tx,
-            task: tokio::spawn(driving).abort_handle(),
+            task: tokio::spawn(drive).abort_handle(),
             reused: false,
         })
     }
@@ -56,25 +57,28 @@
 }
 
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Kept connections by target.
+/// Idle connections by target.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
-    kept: Mutex<HashMap<TargetId, Vec<Kept>>>,
+    idle_connections: Mutex<HashMap<TargetId, Vec<IdleConnection>>>,
 }
 
 impl Pool {
-    /// Takes the connection that was used last; older ones run out of time meanwhile.
+    /// Takes the most recently used connection; older connections expire meanwhile.
     pub(super) fn take(&self, target: &TargetId) -> Option<Connection> {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let stack = kept.get_mut(target)?;
+        let mut idle_connections = self
+            .idle_connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let stack = idle_connections.get_mut(target)?;
         let now = Instant::now();
         while let Some(mut last) = stack.pop() {
-            if now < last.until && last.connection.tx.is_ready() {
+            if now < last.expires_at && last.connection.tx.is_ready() {
                 last.connection.reused = true;
                 return Some(last.connection);
             }
@@ -82,25 +86,36 @@
         None
     }
 
-    /// Keeps a connection whose last answer was complete.
+    /// Returns a connection whose last response was complete to the pool.
     pub(super) fn put(&self, target: &TargetId, connection: Connection, limit: Option<Duration>) {
-        let stated = limit.map(|limit| limit.mul_f64(USED_PART_OF_LIMIT));
-        let idle = stated.unwrap_or(UNSTATED_LIMIT).min(LONGEST_IDLE);
-        let until = Instant::now() + idle;
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let stack = kept.entry(target.clone()).or_default();
-        if stack.len() < MOST_KEPT {
-            stack.push(Kept { connection, until });
+        let stated = limit.map(|limit| limit.mul_f64(IDLE_LIMIT_FRACTION));
+        let idle = stated.unwrap_or(DEFAULT_MAX_IDLE).min(MAX_IDLE);
+        let expires_at = Instant::now() + idle;
+        let mut idle_connections = self
+            .idle_connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let stack = idle_connections.entry(target.clone()).or_default();
+        if stack.len() < MAX_IDLE_PER_TARGET {
+            stack.push(IdleConnection {
+                connection,
+                expires_at,
+            });
         }
     }
 
-    /// Closes connections that won't be used again.
+    /// Closes expired and broken connections.
     pub(super) fn sweep(&self) {
         let now = Instant::now();
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        for stack in kept.values_mut() {
-            stack.retain(|kept| now < kept.until && !kept.connection.tx.is_closed());
+        let mut idle_connections = self
+            .idle_connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        for stack in idle_connections.values_mut() {
+            stack.retain(|idle_connections| {
+                now < idle_connections.expires_at && !idle_connections.connection.tx.is_closed()
+            });
         }
-        kept.retain(|_, stack| !stack.is_empty());
+        idle_connections.retain(|_, stack| !stack.is_empty());
     }
 }
--- a/crates/gateway/src/packet.rs
+++ b/crates/gateway/src/packet.rs
@@ -1,7 +1,7 @@
 //! Datagrams between instances.
 //!
-//! They go several times a second to many, so each byte counts: names go as short hashes, numbers by their
-//! size, and only what changed lately is told.
+//! They are sent several times a second to many instances, so they are kept small: names are sent as short
+//! hashes, numbers with a variable length, and only recent changes are included.
 
 use bincode::Options;
 use bluebellstage_core::{AdapterId, AdapterVersion, BaseModel, TargetId};
@@ -12,34 +12,34 @@
 use crate::decide::quarantine::QuarantineMessage;
 use crate::decide::residency::ResidencyVersion;
 
-/// Longest datagram that is read.
+/// Max size of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 16 * 1_024;
 
 /// A datagram between instances.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Packet {
-    /// How instances are.
+    /// State of instances.
     Exchange(Message),
-    /// Requests wait for adapters on an engine; goes to the holder of its shard.
-    Wishes(Vec<Wish>),
-    /// What engines hold; from the holder of their shard.
-    Holdings(Vec<Holdings>),
-    /// Requests under which targets end.
+    /// Load requests and use of adapters on engines; sent to the holder of the engines' shard.
+    AdapterRequests(Vec<AdapterRequest>),
+    /// Resident adapters of engines; sent by the holder of the engines' shard.
+    ResidencyUpdates(Vec<ResidencyUpdate>),
+    /// Messages about requests under which targets crash.
     Quarantine(Vec<QuarantineMessage>),
 }
 
-/// First byte of a datagram. It tells the form; another release that changes the form changes it, and
-/// neither misreads the other.
-const FORM: u8 = 0xB3;
+/// First byte of a datagram: identifies the format. A release that changes the format changes this byte, so
+/// that two releases never misread each other's datagrams.
+const FORMAT: u8 = 0xB3;
 
-/// Why a datagram isn't read.
+/// Why a datagram can't be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum PacketError {
-    /// Another release speaks, or another program.
-    #[error("another form ({0:#04x}): instances of two releases run beside each other")]
-    OtherForm(u8),
-    /// It is cut or spoilt.
-    #[error("{0}: it is cut or spoilt; the next round repeats it")]
+    /// The sender is another release, or another program.
+    #[error("other datagram format ({0:#04x}): instances of two releases run side by side")]
+    OtherFormat(u8),
+    /// The datagram is truncated, corrupt or too long.
+    #[error("{0}: the datagram is truncated or corrupt; the next round repeats it")]
     Malformed(#[from] bincode::Error),
 }
 
@@ -48,13 +48,13 @@
 }
 
 impl Packet {
-    /// Encodes it.
+    /// Encodes the datagram.
     ///
     /// # Errors
     ///
-    /// It is longer than a datagram may be.
+    /// The packet is longer than a datagram may be.
     pub fn encode(&self) -> Result<Vec<u8>, PacketError> {
-        let mut buf = vec![FORM];
+        let mut buf = vec![FORMAT];
         codec().serialize_into(&mut buf, self)?;
         Ok(buf)
     }
@@ -63,82 +63,84 @@
     ///
     /// # Errors
     ///
-    /// It is of another form, or malformed.
+    /// The datagram has another format or is malformed.
     pub fn decode(buf: &[u8]) -> Result<Self, PacketError> {
         match buf.split_first() {
-            Some((&FORM, rest)) => Ok(codec().deserialize(rest)?),
-            first => Err(PacketError::OtherForm(first.map_or(0, |(form, _)| *form))),
+            Some((&FORMAT, rest)) => Ok(codec().deserialize(rest)?),
+            first => Err(PacketError::OtherFormat(
+                first.map_or(0, |(format, _)| *format),
+            )),
         }
     }
 
-    /// A short name, for metrics.
+    /// Returns a short name for metrics.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
             Self::Exchange(message) => message.name(),
-            Self::Wishes(_) => "wishes",
-            Self::Holdings(_) => "holdings",
+            Self::AdapterRequests(_) => "wishes",
+            Self::ResidencyUpdates(_) => "holdings",
             Self::Quarantine(_) => "quarantine",
         }
     }
 }
 
-/// A wish for an adapter on an engine, or news of its use.
+/// A load request for an adapter on an engine, or an update of the adapter's use.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Wish {
+pub struct AdapterRequest {
     /// The engine.
     pub target: TargetId,
     /// The adapter.
     pub key: AdapterKey,
-    /// Why.
-    pub kind: WishKind,
+    /// What is requested or reported.
+    pub kind: AdapterRequestKind,
 }
 
-/// What is said of an adapter on an engine.
+/// What is requested or reported of an adapter on an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum WishKind {
-    /// A request waits for it, at this version or newer.
+pub enum AdapterRequestKind {
+    /// A request waits for the adapter, at this version or newer.
     Load(Option<AdapterVersion>),
-    /// A request was sent to it.
-    Begun,
-    /// A request that was sent to it is over.
+    /// A request for the adapter was sent to the engine.
+    Started,
+    /// A request for the adapter that was sent to the engine has ended.
     Ended,
-    /// The engine said that it doesn't hold it.
+    /// The engine reported that the adapter is not loaded.
     Missing,
 }
 
-/// Encoded bytes of an adapter beside its name: the name's length and the version.
-const LENGTH_AND_VERSION: usize = 12;
-/// Encoded bytes of the lengths of a model's name and of its list.
-const LENGTHS: usize = 16;
-/// Encoded bytes of a word's order and of the lengths of its name and list.
-const WORD_HEAD: usize = 32;
+/// Encoded bytes of an adapter without its name: the name's length and the version.
+const ADAPTER_OVERHEAD_BYTES: usize = 12;
+/// Encoded bytes of the lengths of a model's name and of its list of adapters.
+const MODEL_OVERHEAD_BYTES: usize = 16;
+/// Encoded bytes of an update's version and of the lengths of the target's name and of the list of models.
+const UPDATE_OVERHEAD_BYTES: usize = 32;
 
-/// What an engine holds, by its loader.
+/// The usable adapters of an engine, as its loader publishes them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Holdings {
+pub struct ResidencyUpdate {
     /// The engine.
     pub target: TargetId,
-    /// Place among all such words on this engine.
+    /// Orders the updates of this engine.
     pub order: ResidencyVersion,
-    /// Adapters that can be used, by their base model.
+    /// Usable adapters and their versions, by base model.
     pub models: Vec<(BaseModel, Vec<(AdapterId, u32)>)>,
 }
 
-impl Holdings {
-    /// Packs the adapters of an engine.
+impl ResidencyUpdate {
+    /// Creates an update from the usable adapters of an engine.
     #[must_use]
     pub fn new(target: TargetId, order: ResidencyVersion, adapters: Vec<VersionedAdapter>) -> Self {
         let mut models = Vec::<(BaseModel, Vec<_>)>::new();
-        for held in adapters {
-            let version = u32::try_from(held.version.0).unwrap_or(u32::MAX);
-            let adapter = (held.key.adapter, version);
+        for resident in adapters {
+            let version = u32::try_from(resident.version.0).unwrap_or(u32::MAX);
+            let adapter = (resident.key.adapter, version);
             match models
                 .iter_mut()
-                .find(|(model, _)| *model == held.key.model)
+                .find(|(model, _)| *model == resident.key.model)
             {
                 Some((_, adapters)) => adapters.push(adapter),
-                None => models.push((held.key.model, vec![adapter])),
+                None => models.push((resident.key.model, vec![adapter])),
             }
         }
         Self {
@@ -148,18 +150,19 @@
         }
     }
 
-    /// Bytes that it takes in a datagram, or a little more.
+    /// Returns the number of bytes of the update in a datagram, or a little more.
     #[must_use]
     pub fn estimated_bytes(&self) -> usize {
         let models = self.models.iter().map(|(model, adapters)| {
             let adapters = adapters.iter();
-            let adapters = adapters.map(|(adapter, _)| adapter.as_str().len() + LENGTH_AND_VERSION);
-            model.as_str().len() + LENGTHS + adapters.sum::<usize>()
+            let adapters =
+                adapters.map(|(adapter, _)| adapter.as_str().len() + ADAPTER_OVERHEAD_BYTES);
+            model.as_str().len() + MODEL_OVERHEAD_BYTES + adapters.sum::<usize>()
         });
-        self.target.as_str().len() + WORD_HEAD + models.sum::<usize>()
+        self.target.as_str().len() + UPDATE_OVERHEAD_BYTES + models.sum::<usize>()
     }
 
-    /// The adapters, unpacked.
+    /// Returns the adapters as a flat list.
     #[must_use]
     pub fn adapters(&self) -> Vec<VersionedAdapter> {
         let models = self.models.iter();
