--- a/crates/core/examples/rates_slopes.rs
+++ b/crates/core/examples/rates_slopes.rs
@@ -108,7 +108,7 @@
         let mut out = Vec::new();
         let mut cx = Cx {
             now: self.now,
-            own: &node.own,
+            ownership: &node.own,
             out: &mut out,
         };
         let begun = Instant::now();
--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -5,7 +5,7 @@
 use crate::catalogue::ApplyOutcome;
 use crate::{
     AdapterRef, CallId, ChangeId, FailureDomain, InstanceId, Map, ObjectName, PeerMessage,
-    PlatformCall, Refusal, RequestId, Revision, StoredAnswer, TargetId, TargetOrder, Terms, Time,
+    PlatformCall, Refusal, RequestId, Revision, StoredResponse, TargetId, TargetOrder, Terms, Time,
     Tokens,
 };
 
@@ -71,11 +71,11 @@
         send_before: Time,
     },
     /// Answer with what an earlier run of the same call gave.
-    Replay(StoredAnswer),
+    Replay(StoredResponse),
     /// Refuse, at once.
     Refuse(Refusal),
     /// End the caller's connection and the target's work: the key that it came with was withdrawn.
-    Cut(Refusal),
+    Interrupt(Refusal),
 }
 
 /// Something that happened inside a core that operators may want to see.
@@ -86,9 +86,9 @@
     /// The map's terms differ from this instance's settings; the map's hold.
     TermsDiffer(Terms),
     /// Standing was lost: this instance stops acting as a home.
-    StandingLost,
+    LeaseLost,
     /// Standing is back.
-    StandingRegained,
+    LeaseRegained,
     /// A peer is silent and proposed to be dropped.
     PeerSuspected(InstanceId),
     /// A newer catalogue revision is in force here.
--- a/crates/core/src/catalogue/compact.rs
+++ b/crates/core/src/catalogue/compact.rs
@@ -1,6 +1,6 @@
 //! Compaction: a snapshot takes the place of the log objects before it.
 
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{CallId, Expected, ObjectName, PlatformOp, PlatformReply};
 
 use super::core::KnownHead;
@@ -52,7 +52,7 @@
     }
 
     /// Takes a write's answer; gives the head if it is the new one.
-    pub(super) fn answer(&mut self, answer: PlatformAnswer) -> Option<KnownHead> {
+    pub(super) fn answer(&mut self, answer: PlatformResponse) -> Option<KnownHead> {
         self.call = None;
         let work = self.work.as_mut()?;
         match (answer.reply, work.next_head.take()) {
--- a/crates/core/src/catalogue/core.rs
+++ b/crates/core/src/catalogue/core.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::membership::CatalogueQuorum;
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{
     Action, CallId, Cx, InstanceId, Notice, ObjectVersion, OwnershipKey, PeerMessage, PlatformCall,
     PlatformOp, PlatformPurpose, PlatformReply, Revision, Time,
@@ -101,7 +101,7 @@
         if self.loaded && self.unsure_since.is_none() {
             self.state.revision
         } else {
-            Revision::UNSURE
+            Revision::UNCERTAIN
         }
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Takes an answer to `CatalogueHead`, `CatalogueRead` or `CatalogueWrite`.
-    pub fn platform(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+    pub fn platform(&mut self, cx: &mut Cx<'_>, answer: PlatformResponse) {
         match answer.purpose {
             PlatformPurpose::CatalogueHead => self.take_head(cx, &answer),
             PlatformPurpose::CatalogueRead => self.take_read(cx, &answer),
@@ -181,7 +181,7 @@
         }
         self.fresh_until = self
             .fresh_until
-            .max(quorum.confirmed_at + cx.own.map.terms.lease_duration);
+            .max(quorum.confirmed_at + cx.ownership.map.terms.lease_duration);
     }
 
     fn read_if_due(&mut self, cx: &mut Cx<'_>) {
@@ -190,7 +190,8 @@
         }
         let behind =
             !self.loaded || self.wanted > self.state.revision || self.unsure_since.is_some();
-        let running_out = self.fresh_until.since(cx.now) < cx.own.map.terms.lease_duration / 2;
+        let running_out =
+            self.fresh_until.since(cx.now) < cx.ownership.map.terms.lease_duration / 2;
         if behind || running_out || self.writer.wants_head() {
             self.read_head(cx);
         }
@@ -204,12 +205,12 @@
         self.call(cx, PlatformPurpose::CatalogueHead, op);
     }
 
-    fn take_head(&mut self, cx: &mut Cx<'_>, answer: &PlatformAnswer) {
+    fn take_head(&mut self, cx: &mut Cx<'_>, answer: &PlatformResponse) {
         self.head_read = None;
         let PlatformReply::Got(found) = &answer.reply else {
             self.next_read = cx.now + READ_PAUSE;
             if answer.reply == PlatformReply::Unavailable {
-                self.writer.head_refused(cx, answer.asked);
+                self.writer.head_refused(cx, answer.sent_at);
             }
             self.ask_peers(cx);
             return;
@@ -238,7 +239,7 @@
             return;
         }
         self.proof = Some(Proof {
-            asked: answer.asked,
+            asked: answer.sent_at,
             revision: known.head.revision,
         });
         self.wanted = known.head.revision;
@@ -251,7 +252,7 @@
         self.carry_out_read(cx, step);
     }
 
-    fn take_read(&mut self, cx: &mut Cx<'_>, answer: &PlatformAnswer) {
+    fn take_read(&mut self, cx: &mut Cx<'_>, answer: &PlatformResponse) {
         let step = self.reader.answer(answer, &mut self.state);
         self.carry_out_read(cx, step);
     }
@@ -287,7 +288,7 @@
         {
             self.fresh_until = self
                 .fresh_until
-                .max(proof.asked + cx.own.map.terms.lease_duration);
+                .max(proof.asked + cx.ownership.map.terms.lease_duration);
             if self.unsure_since.is_some_and(|since| proof.asked >= since) {
                 self.unsure_since = None;
             }
@@ -417,7 +418,7 @@
         self.adopted_if_newer(cx);
     }
 
-    fn take_write(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+    fn take_write(&mut self, cx: &mut Cx<'_>, answer: PlatformResponse) {
         if self.compaction.owns(answer.id) {
             self.take_compaction(cx, answer);
             return;
@@ -428,7 +429,7 @@
     }
 
     fn compact(&mut self, cx: &mut Cx<'_>) {
-        let may = cx.own.may_act(cx.now, &OwnershipKey::Catalogue)
+        let may = cx.ownership.may_act(cx.now, &OwnershipKey::Catalogue)
             && self.writer.len() == 0
             && !self.reader.is_busy();
         if !may || self.head.head.revision != self.state.revision {
@@ -440,7 +441,7 @@
         }
     }
 
-    fn take_compaction(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+    fn take_compaction(&mut self, cx: &mut Cx<'_>, answer: PlatformResponse) {
         if let Some(head) = self.compaction.answer(answer) {
             self.head = head;
         }
@@ -457,9 +458,9 @@
 }
 
 fn peers(cx: &Cx<'_>) -> Vec<InstanceId> {
-    let members = cx.own.map.members.iter();
+    let members = cx.ownership.map.members.iter();
     members
-        .filter(|member| member.id != cx.own.local.id)
+        .filter(|member| member.id != cx.ownership.local.id)
         .map(|member| member.id.clone())
         .collect()
 }
--- a/crates/core/src/catalogue/reader.rs
+++ b/crates/core/src/catalogue/reader.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{CallId, ObjectName, PlatformReply, Revision};
 
 use super::head::{Head, LogRef, SnapshotRef};
@@ -86,7 +86,7 @@
     /// Takes a read's answer; brings `state` up to the head once all are there.
     pub(super) fn answer(
         &mut self,
-        answer: &PlatformAnswer,
+        answer: &PlatformResponse,
         state: &mut CatalogueState,
     ) -> ReaderStep {
         let Some(object) = self.pending.remove(&answer.id) else {
--- a/crates/core/src/catalogue/writer.rs
+++ b/crates/core/src/catalogue/writer.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{Action, CallId, Cx, Expected, PlatformOp, PlatformReply, Revision, Time};
 
 use super::core::KnownHead;
@@ -176,7 +176,7 @@
     pub(super) fn answer(
         &mut self,
         cx: &mut Cx<'_>,
-        answer: &PlatformAnswer,
+        answer: &PlatformResponse,
         known: &KnownHead,
     ) -> WriterStep {
         if self.call != Some(answer.id) {
@@ -279,8 +279,8 @@
     /// takes a majority of a map that was proved current after the change was written: whoever
     /// joins later reads a head that holds it.
     pub(super) fn settle(&mut self, cx: &mut Cx<'_>, held: Revision) {
-        let proved = cx.own.lease_expires_at - cx.own.map.terms.lease_duration;
-        let has_standing = cx.own.has_lease(cx.now);
+        let proved = cx.ownership.lease_expires_at - cx.ownership.map.terms.lease_duration;
+        let has_standing = cx.ownership.has_lease(cx.now);
         let mut settled = Vec::new();
         self.spreading.retain(|change| {
             let accepted = held >= change.revision && has_standing && proved >= change.written;
--- a/crates/core/src/cx.rs
+++ b/crates/core/src/cx.rs
@@ -8,7 +8,7 @@
     /// The moment.
     pub now: Time,
     /// Who may act.
-    pub own: &'a Ownership,
+    pub ownership: &'a Ownership,
     /// What is to be done, in order.
     pub out: &'a mut Vec<Action>,
 }
--- a/crates/core/src/engines/client.rs
+++ b/crates/core/src/engines/client.rs
@@ -156,7 +156,7 @@
             views: &self.views,
             tried_groups: &pending.tried_groups,
             now: io.now(),
-            ownership: io.cx.own,
+            ownership: io.cx.ownership,
         };
         let placement = io.cfg.placement;
         let choice = candidates.choose(
@@ -167,7 +167,7 @@
         )?;
         let owner = io
             .cx
-            .own
+            .ownership
             .owner(&OwnershipKey::Group(choice.group.clone()))?;
         Some((choice, owner.clone()))
     }
@@ -240,7 +240,7 @@
             end.send_at = now + RESPONSE_TIMEOUT;
             let Some(owner) = io
                 .cx
-                .own
+                .ownership
                 .owner(&OwnershipKey::Group(group.clone()))
                 .cloned()
             else {
@@ -316,7 +316,7 @@
             .filter(|(_, pending)| match &pending.stage {
                 Stage::Unrouted { .. } => false,
                 Stage::Sent { group, owner, .. } | Stage::Queued { group, owner, .. } => {
-                    io.cx.own.owner(&OwnershipKey::Group(group.clone())) != Some(owner)
+                    io.cx.ownership.owner(&OwnershipKey::Group(group.clone())) != Some(owner)
                 }
             })
             .map(|(number, _)| *number)
@@ -381,7 +381,7 @@
             views: &self.views,
             tried_groups: &BTreeSet::new(),
             now: io.now(),
-            ownership: io.cx.own,
+            ownership: io.cx.ownership,
         };
         let placement = io.cfg.placement;
         let choice = candidates.choose(
@@ -411,7 +411,7 @@
 
     /// Refuses the requests that have waited for the maximum queueing time.
     fn reject_expired(&mut self, io: &mut Io<'_, '_>) {
-        let before = io.now() - io.cfg.queue_patience;
+        let before = io.now() - io.cfg.max_queue_wait;
         let expired: Vec<(RequestId, Stage)> = self
             .pending
             .values()
--- a/crates/core/src/engines/client_permits.rs
+++ b/crates/core/src/engines/client_permits.rs
@@ -32,7 +32,7 @@
             return;
         };
         let now = io.now();
-        let send_before = (now + io.cfg.permit_start).min(io.cx.own.lease_expires_at);
+        let send_before = (now + io.cfg.permit_start_timeout).min(io.cx.ownership.lease_expires_at);
         let adapter = pending.request.adapter;
         let request = pending.request.request;
         self.views
@@ -68,7 +68,7 @@
         from: &InstanceId,
         grant: &Grant,
     ) -> Option<PendingRequest> {
-        let ownership = io.cx.own;
+        let ownership = io.cx.ownership;
         let key = OwnershipKey::Group(grant.group.clone());
         let min_revision = self
             .min_revisions
--- a/crates/core/src/engines/core.rs
+++ b/crates/core/src/engines/core.rs
@@ -127,7 +127,7 @@
                 owner.map_changed(io);
             }
             this.store_owner
-                .take_if(|store_owner| !store_owner.has_kept_ownership(io.cx.own));
+                .take_if(|store_owner| !store_owner.has_kept_ownership(io.cx.ownership));
             this.update_groups(io);
             this.client.map_changed(io, &this.targets);
         })
@@ -175,7 +175,7 @@
         let mut decisions = std::mem::take(&mut self.undelivered_decisions);
         let cfg = self.cfg.clone();
         let mut next_order_id = self.next_order_id;
-        let local_id = cx.own.local.id.clone();
+        let local_id = cx.ownership.local.id.clone();
         let mut io = Io {
             cx,
             cfg: &cfg,
@@ -194,7 +194,7 @@
 
     /// Rebuilds the groups from the list and creates the owners of those that this instance owns.
     fn update_groups(&mut self, io: &Io<'_, '_>) {
-        let ownership = io.cx.own;
+        let ownership = io.cx.ownership;
         self.targets = Targets::new(&self.listed_targets, ownership.map.terms.grouping);
         for id in self.targets.groups.keys() {
             let is_owner = ownership.is_owner(&OwnershipKey::Group(id.clone()));
--- a/crates/core/src/engines/fallback_loads.rs
+++ b/crates/core/src/engines/fallback_loads.rs
@@ -33,8 +33,9 @@
     /// which are retried later.
     pub(super) fn load_without_permit(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        let owner = io.cx.own.owner(&OwnershipKey::WeightStore);
-        let is_unresponsive = owner.is_some_and(|owner| io.cx.own.unresponsive.contains(owner));
+        let owner = io.cx.ownership.owner(&OwnershipKey::WeightStore);
+        let is_unresponsive =
+            owner.is_some_and(|owner| io.cx.ownership.unresponsive.contains(owner));
         let state = &mut self.loading.fallback;
         if !is_unresponsive {
             state.unresponsive_since = None;
@@ -45,7 +46,7 @@
             return;
         }
         let permit = PermitId {
-            revision: io.cx.own.revision(),
+            revision: io.cx.ownership.revision(),
             number: FIRST_FALLBACK_PERMIT_NUMBER + state.permits_issued,
         };
         state.permits_issued += 1;
--- a/crates/core/src/engines/granting.rs
+++ b/crates/core/src/engines/granting.rs
@@ -53,7 +53,7 @@
             engine.record_grant(&queued.request.adapter, now);
         }
         let permit = PermitId {
-            revision: io.cx.own.revision(),
+            revision: io.cx.ownership.revision(),
             number: self.next_permit,
         };
         self.next_permit += 1;
--- a/crates/core/src/engines/io.rs
+++ b/crates/core/src/engines/io.rs
@@ -27,12 +27,12 @@
     }
 
     pub(super) const fn local_member(&self) -> &MemberRef {
-        &self.cx.own.local
+        &self.cx.ownership.local
     }
 
     /// Sends a message; one to the local instance is handled in the same step.
     pub(super) fn send(&mut self, to: &InstanceId, message: EnginesMessage) {
-        if *to == self.cx.own.local.id {
+        if *to == self.cx.ownership.local.id {
             self.local_messages.push_back(message);
             return;
         }
@@ -49,8 +49,8 @@
             id,
             target: engine.id.clone(),
             address: engine.address,
-            fencing: self.cx.own.fencing(),
-            send_before: self.cx.own.lease_expires_at,
+            fencing: self.cx.ownership.fencing(),
+            send_before: self.cx.ownership.lease_expires_at,
             kind,
         }));
         id
--- a/crates/core/src/engines/loading.rs
+++ b/crates/core/src/engines/loading.rs
@@ -351,7 +351,7 @@
         let is_due = now >= loading.demand_sent_at + DEMAND_REFRESH_INTERVAL && !is_idle;
         let has_changed = wanted_counts != loading.sent_counts
             && now >= loading.demand_sent_at + MIN_DEMAND_INTERVAL;
-        let Some(owner) = io.cx.own.owner(&OwnershipKey::WeightStore).cloned() else {
+        let Some(owner) = io.cx.ownership.owner(&OwnershipKey::WeightStore).cloned() else {
             return;
         };
         if !is_due && !has_changed {
@@ -396,7 +396,7 @@
             .sent_demands
             .iter()
             .find(|(sent, _)| *sent == sequence);
-        let is_current = io.cx.own.owner(&OwnershipKey::WeightStore) == Some(from)
+        let is_current = io.cx.ownership.owner(&OwnershipKey::WeightStore) == Some(from)
             && permit.revision >= self.loading.newest_revision;
         let use_before = match demand_sent {
             Some((_, at)) if is_current && now < *at + LOAD_PERMIT_TTL => *at + LOAD_PERMIT_TTL,
@@ -420,7 +420,7 @@
         use_before: Time,
     ) -> bool {
         let now = io.now();
-        if !io.cx.own.may_act(now, &self.key) {
+        if !io.cx.ownership.may_act(now, &self.key) {
             return false;
         }
         let no_exclusions = BTreeSet::new();
@@ -453,7 +453,7 @@
         used: bool,
     ) {
         self.loading.held_permits.remove(&permit);
-        let Some(owner) = io.cx.own.owner(&OwnershipKey::WeightStore).cloned() else {
+        let Some(owner) = io.cx.ownership.owner(&OwnershipKey::WeightStore).cloned() else {
             return;
         };
         let message = EnginesMessage::LoadPermitReleased {
--- a/crates/core/src/engines/orders.rs
+++ b/crates/core/src/engines/orders.rs
@@ -170,7 +170,7 @@
             .held_permits
             .get(&permit)
             .is_some_and(|use_before| now < *use_before);
-        let may_act = io.cx.own.may_act(now, &self.key);
+        let may_act = io.cx.ownership.may_act(now, &self.key);
         if *outcome == OrderOutcome::Done && is_in_time && may_act {
             self.order_load(io, target, next_adapter, permit);
         } else {
--- a/crates/core/src/engines/owner.rs
+++ b/crates/core/src/engines/owner.rs
@@ -122,11 +122,11 @@
 
     /// Whether this owner's state is still valid under the map in force.
     pub(super) fn has_kept_ownership(&self, io: &Io<'_, '_>) -> bool {
-        was_owner_throughout(io.cx.own, &self.key, self.revision)
+        was_owner_throughout(io.cx.ownership, &self.key, self.revision)
     }
 
     pub(super) fn map_changed(&mut self, io: &Io<'_, '_>) {
-        self.revision = io.cx.own.revision();
+        self.revision = io.cx.ownership.revision();
         self.orphan_reports_from = None;
     }
 
@@ -141,11 +141,11 @@
             id: from.clone(),
             incarnation: enqueue.incarnation,
         };
-        if !current_members(io.cx.own).contains(&member) {
+        if !current_members(io.cx.ownership).contains(&member) {
             return;
         }
         let number = enqueue.number;
-        if !io.cx.own.may_act(now, &self.key) {
+        if !io.cx.ownership.may_act(now, &self.key) {
             self.reject(io, from, number, RefusalKind::NoStanding);
             return;
         }
@@ -312,13 +312,13 @@
     /// Does all work that is due.
     pub(super) fn advance(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        if !io.cx.own.may_act(now, &self.key) {
+        if !io.cx.ownership.may_act(now, &self.key) {
             return;
         }
         self.continue_takeover(io);
         self.queue
-            .remove_expired(now - QUEUED_REQUEST_TTL, &current_members(io.cx.own));
-        self.queue.promote_batch(now - io.cfg.queue_patience / 4);
+            .remove_expired(now - QUEUED_REQUEST_TTL, &current_members(io.cx.ownership));
+        self.queue.promote_batch(now - io.cfg.max_queue_wait / 4);
         self.reject_all_if_closed(io);
         self.reassign_engines(io.cfg.placement);
         self.grant_permits(io);
@@ -331,7 +331,7 @@
     /// Starts or continues the takeover: queries the members that have not reported their permits.
     fn continue_takeover(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        let ownership = io.cx.own;
+        let ownership = io.cx.ownership;
         let takeover = self
             .takeover
             .get_or_insert_with(|| Takeover::new(ownership, now));
@@ -366,7 +366,7 @@
         {
             return;
         }
-        let members = current_members(io.cx.own);
+        let members = current_members(io.cx.ownership);
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
--- a/crates/core/src/engines/store_owner.rs
+++ b/crates/core/src/engines/store_owner.rs
@@ -93,7 +93,7 @@
     /// Grants the load permits that the limits allow now.
     pub(super) fn advance(&mut self, io: &mut Io<'_, '_>) {
         let now = io.now();
-        if !io.cx.own.may_act(now, &OwnershipKey::WeightStore) {
+        if !io.cx.ownership.may_act(now, &OwnershipKey::WeightStore) {
             return;
         }
         let started_at = *self.started_at.get_or_insert(now);
@@ -140,7 +140,7 @@
         let now = io.now();
         self.served_count += 1;
         let permit = PermitId {
-            revision: io.cx.own.revision(),
+            revision: io.cx.ownership.revision(),
             number: self.next_permit,
         };
         self.next_permit += 1;
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,7 +1,7 @@
 //! What can happen to an instance: the only way into the cores.
 
 use crate::catalogue::ChangeRequest;
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{
     CallerRequest, Finish, InstanceId, ObjectName, OrderId, OrderOutcome, PeerMessage, RequestId,
     TargetId, Tokens,
@@ -20,9 +20,9 @@
         message: Box<PeerMessage>,
     },
     /// The platform answered.
-    Platform(PlatformAnswer),
+    Platform(PlatformResponse),
     /// A watch saw an object change; only a hint, to be followed by a consistent read.
-    PlatformChanged(ObjectName),
+    ObjectChanged(ObjectName),
     /// An order to an engine ended.
     OrderEnded {
         /// Which order.
--- a/crates/core/src/instance/arrival.rs
+++ b/crates/core/src/instance/admission.rs
@@ -1,4 +1,4 @@
-//! A caller's request as it arrives: checked against the catalogue, charged to its workspace.
+//! Admission of callers' requests: checks them against the catalogue and charges their workspace.
 
 use crate::rates::{Limits, RateStep};
 use crate::{
@@ -7,28 +7,32 @@
 };
 
 use super::Instance;
+use super::active_request::{ActiveRequest, Job, Stage};
 use super::core::cx;
-use super::flight::{Flight, Job, Stage};
 use super::requests::RETRY_AFTER;
 
 impl Instance {
-    pub(super) fn arrived(&mut self, now: Time, id: RequestId, request: CallerRequest) {
-        if self.flights.contains_key(&id) {
+    pub(super) fn handle_arrival(&mut self, now: Time, id: RequestId, request: CallerRequest) {
+        if self.active_requests.contains_key(&id) {
             return;
         }
-        self.budget.earn();
-        match self.admit(now, request) {
-            Ok(flight) => self.charge(now, id, flight),
+        self.retry_budget.earn();
+        match self.validate_request(now, request) {
+            Ok(active_request) => self.charge_tokens(now, id, active_request),
             Err(refusal) => self.refuse(id, refusal),
         }
     }
 
-    /// Checks a request against the catalogue.
-    pub(super) fn admit(&self, now: Time, request: CallerRequest) -> Result<Flight, Refusal> {
+    /// Checks a request against the catalogue; returns a refusal if it may not run here.
+    pub(super) fn validate_request(
+        &self,
+        now: Time,
+        request: CallerRequest,
+    ) -> Result<ActiveRequest, Refusal> {
         if self.has_ended() {
             return Err(Refusal::retry_after(RefusalKind::Stopping, RETRY_AFTER));
         }
-        if !self.own().has_lease(now) || !self.catalogue.is_fresh(now) {
+        if !self.ownership().has_lease(now) || !self.catalogue.is_fresh(now) {
             return Err(Refusal::retry_after(RefusalKind::NoStanding, RETRY_AFTER));
         }
         let Some(key) = self.catalogue().key(&request.key) else {
@@ -42,10 +46,10 @@
                 prompt,
                 max_answer,
                 prefix,
-            } => self.generation(&workspace, &adapter, version, prompt, max_answer, prefix)?,
-            CallerWork::Call(call) => self.call(&workspace, call)?,
+            } => self.generation_job(&workspace, &adapter, version, prompt, max_answer, prefix)?,
+            CallerWork::Call(call) => self.call_job(&workspace, call)?,
         };
-        Ok(Flight {
+        Ok(ActiveRequest {
             key,
             workspace,
             charge,
@@ -57,7 +61,7 @@
         })
     }
 
-    pub(super) fn generation(
+    pub(super) fn generation_job(
         &self,
         workspace: &WorkspaceId,
         adapter: &AdapterId,
@@ -93,7 +97,7 @@
         Ok((job, prompt + max_answer))
     }
 
-    pub(super) fn call(
+    pub(super) fn call_job(
         &self,
         workspace: &WorkspaceId,
         call: ServiceCall,
@@ -101,7 +105,7 @@
         let entry = self.catalogue().service(&call.service);
         let entry = entry.filter(|entry| entry.workspaces.contains(workspace));
         let entry = entry.ok_or(Refusal::not_run(RefusalKind::NotFound))?;
-        // Without a name for it, a repeat of the call could not be told from a second call.
+        // Without an idempotency key, a retry can't be distinguished from a second call.
         if !call.idempotent && call.idempotency_key.is_none() {
             return Err(Refusal::not_run(RefusalKind::IdempotencyKeyMissing));
         }
@@ -114,8 +118,13 @@
         ))
     }
 
-    pub(super) fn charge(&mut self, now: Time, id: RequestId, flight: Flight) {
-        let limits = self.catalogue().workspace(&flight.workspace);
+    pub(super) fn charge_tokens(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        active_request: ActiveRequest,
+    ) {
+        let limits = self.catalogue().workspace(&active_request.workspace);
         let Some(limits) = limits.map(|entry| Limits {
             rate: entry.rate,
             burst: entry.burst,
@@ -123,20 +132,25 @@
             self.refuse(id, Refusal::not_run(RefusalKind::KeyRefused));
             return;
         };
-        let step = if flight.charge == Tokens::default() {
+        let step = if active_request.charge == Tokens::default() {
             RateStep::Admitted
         } else {
-            self.rates
-                .admit(cx!(self, now), id, &flight.workspace, limits, flight.charge)
+            self.rates.admit(
+                cx!(self, now),
+                id,
+                &active_request.workspace,
+                limits,
+                active_request.charge,
+            )
         };
         match step {
             RateStep::Refused(refusal) => self.refuse(id, refusal),
             RateStep::Waiting => {
-                self.flights.insert(id, flight);
+                self.active_requests.insert(id, active_request);
             }
             RateStep::Admitted => {
-                self.flights.insert(id, flight);
-                self.place(now, id);
+                self.active_requests.insert(id, active_request);
+                self.request_target(now, id);
             }
         }
     }
--- a/crates/core/src/instance/core.rs
+++ b/crates/core/src/instance/core.rs
@@ -1,4 +1,4 @@
-//! The instance: events in, actions out.
+//! The [`Instance`] state machine: consumes events and returns actions.
 
 use std::collections::VecDeque;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +11,7 @@
 use crate::engines::Engines;
 use crate::journal::{InDoubt, Journal};
 use crate::membership::Membership;
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::rates::{Limits, Rates};
 use crate::services::Services;
 use crate::{
@@ -20,12 +20,12 @@
     Revision, TargetId, Time, Tuning, WorkspaceId,
 };
 
+use super::active_request::ActiveRequest;
 use super::decision::Decision;
-use super::flight::Flight;
 use super::retry_budget::RetryBudget;
 use super::stop::Stopping;
 
-/// A whole instance without clocks, sockets and tasks.
+/// The state machine of one instance, free of clocks, sockets and tasks.
 #[derive(Debug)]
 pub struct Instance {
     pub(super) cfg: Tuning,
@@ -35,33 +35,33 @@
     pub(super) engines: Engines,
     pub(super) services: Services,
     pub(super) journal: Journal,
-    pub(super) flights: BTreeMap<RequestId, Flight>,
-    pub(super) budget: RetryBudget,
+    pub(super) active_requests: BTreeMap<RequestId, ActiveRequest>,
+    pub(super) retry_budget: RetryBudget,
     pub(super) stopping: Option<Stopping>,
     pub(super) decisions: VecDeque<Decision>,
     pub(super) out: Vec<Action>,
-    map: Revision,
+    map_revision: Revision,
     catalogue_revision: Revision,
-    limited: BTreeSet<WorkspaceId>,
-    next_target_list: Time,
-    target_lists: u64,
+    limited_workspaces: BTreeSet<WorkspaceId>,
+    next_target_list_at: Time,
+    target_list_calls: u64,
 }
 
-/// Which instances a caller may use.
+/// The response of `/v1/entry`: the instances that a caller may use.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct EntryAnswer {
-    /// Where to connect, best first.
+pub struct EntryResponse {
+    /// Addresses to connect to, in order of preference.
     pub addresses: Vec<SocketAddr>,
-    /// For how long to keep this answer.
+    /// How long the caller may cache this response.
     pub max_age: Duration,
 }
 
-/// What a step of a core is given, from an instance's own fields.
+/// Builds the [`Cx`] of a core's step from the fields of an [`Instance`].
 macro_rules! cx {
     ($self:ident, $now:expr) => {
         &mut Cx {
             now: $now,
-            own: $self.membership.ownership(),
+            ownership: $self.membership.ownership(),
             out: &mut $self.out,
         }
     };
@@ -69,121 +69,126 @@
 pub(super) use cx;
 
 impl Instance {
-    /// A fresh life of an instance; `seed` drives nothing but baselines that are random.
+    /// Creates a new incarnation of an instance.
+    ///
+    /// `seed` is used only by baseline policies that choose at random.
     #[must_use]
-    pub fn new(cfg: Tuning, me: Member, seed: u64, now: Time) -> Self {
+    pub fn new(cfg: Tuning, local: Member, seed: u64, now: Time) -> Self {
         Self {
-            membership: Membership::new(&cfg, me, now),
+            membership: Membership::new(&cfg, local, now),
             catalogue: Catalogue::default(),
             rates: Rates::new(&cfg),
             engines: Engines::new(&cfg, seed),
             services: Services::new(&cfg),
             journal: Journal::new(&cfg),
-            flights: BTreeMap::new(),
-            budget: RetryBudget::new(now),
+            active_requests: BTreeMap::new(),
+            retry_budget: RetryBudget::new(now),
             stopping: None,
             decisions: VecDeque::new(),
             out: Vec::new(),
-            map: Revision::default(),
+            map_revision: Revision::default(),
             catalogue_revision: Revision::default(),
-            limited: BTreeSet::new(),
-            next_target_list: now,
-            target_lists: 0,
+            limited_workspaces: BTreeSet::new(),
+            next_target_list_at: now,
+            target_list_calls: 0,
             cfg,
         }
     }
 
-    /// Takes one event and says what to do.
+    /// Handles one event and returns the actions that the shell must perform.
     #[must_use]
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
-        self.take(now, event);
-        self.follow_map(now);
-        self.follow_catalogue(now);
+        self.handle_event(now, event);
+        self.apply_map_change(now);
+        self.apply_catalogue_change(now);
         while let Some(decision) = self.decisions.pop_front() {
-            self.carry_out(now, decision);
+            self.apply_decision(now, decision);
         }
         std::mem::take(&mut self.out)
     }
 
-    /// Which instances callers may use.
+    /// Returns the instances that callers may use.
+    ///
+    /// Unresponsive instances are left out, unless no active instance is responsive.
     #[must_use]
-    pub fn entry(&self, now: Time) -> EntryAnswer {
-        let own = self.own();
+    pub fn entry(&self, now: Time) -> EntryResponse {
+        let ownership = self.ownership();
         let active = || {
-            own.map
+            ownership
+                .map
                 .members
                 .iter()
                 .filter(|member| member.state == MemberState::Active)
         };
-        let heard = active().filter(|member| !own.unresponsive.contains(&member.id));
-        let mut addresses: Vec<_> = heard.map(|member| member.caller_address).collect();
+        let responsive = active().filter(|member| !ownership.unresponsive.contains(&member.id));
+        let mut addresses: Vec<_> = responsive.map(|member| member.caller_address).collect();
         if addresses.is_empty() {
             addresses = active().map(|member| member.caller_address).collect();
         }
         if !addresses.is_empty() {
-            // Callers that ask at different moments start with different instances.
-            let turn = usize::try_from(now.0).unwrap_or(usize::MAX) % addresses.len();
-            addresses.rotate_left(turn);
+            // Spreads callers: the first address depends on the time of the request.
+            let offset = usize::try_from(now.0).unwrap_or(usize::MAX) % addresses.len();
+            addresses.rotate_left(offset);
         }
-        EntryAnswer {
+        EntryResponse {
             addresses,
             max_age: self.cfg.entry_max_age,
         }
     }
 
-    /// The catalogue in force here.
+    /// Returns the catalogue in force at this instance.
     #[must_use]
     pub const fn catalogue(&self) -> &CatalogueState {
         self.catalogue.state()
     }
 
-    /// Calls in doubt that this instance knows of as a home.
+    /// Returns the calls with unknown outcome in the workspaces that this instance owns.
     #[must_use]
     pub fn in_doubt(&self) -> Vec<InDoubt> {
         self.journal.in_doubt()
     }
 
-    /// Whether callers can be served here.
+    /// Returns whether this instance can serve callers.
     #[must_use]
     pub fn is_ready(&self, now: Time) -> bool {
         let active = self
-            .own()
+            .ownership()
             .map
-            .member(&self.own().local.id)
-            .is_some_and(|me| me.state == MemberState::Active);
-        active && self.own().has_lease(now) && self.catalogue.is_fresh(now)
+            .member(&self.ownership().local.id)
+            .is_some_and(|local| local.state == MemberState::Active);
+        active && self.ownership().has_lease(now) && self.catalogue.is_fresh(now)
     }
 
-    /// Whether no caller's request is under way.
+    /// Returns whether no caller's request is in progress.
     #[must_use]
     pub fn is_drained(&self) -> bool {
-        self.flights.is_empty()
+        self.active_requests.is_empty()
     }
 
-    /// Who may act, as this instance knows it.
+    /// Returns this instance's view of the ownership map and of its own lease.
     #[must_use]
-    pub const fn own(&self) -> &Ownership {
+    pub const fn ownership(&self) -> &Ownership {
         self.membership.ownership()
     }
 
-    fn take(&mut self, now: Time, event: Event) {
+    fn handle_event(&mut self, now: Time, event: Event) {
         match event {
             Event::Tick => self.tick(now),
-            Event::Message { from, message } => self.message(now, &from, *message),
-            Event::Platform(answer) => self.platform(now, answer),
-            Event::PlatformChanged(name) => self.platform_changed(now, &name),
+            Event::Message { from, message } => self.handle_message(now, &from, *message),
+            Event::Platform(answer) => self.handle_platform_response(now, answer),
+            Event::ObjectChanged(name) => self.handle_object_change(now, &name),
             Event::OrderEnded {
                 id,
                 target,
                 outcome,
-            } => self.order_ended(now, id, &target, outcome),
-            Event::Request { id, event } => self.request(now, id, event),
+            } => self.handle_order_outcome(now, id, &target, outcome),
+            Event::Request { id, event } => self.handle_request_event(now, id, event),
             Event::Change(request) => self.catalogue.change(cx!(self, now), request),
-            Event::Stop => self.stop(now),
+            Event::Stop => self.begin_stop(now),
         }
     }
 
-    pub(super) fn decide<D: Into<Decision>>(&mut self, decisions: Vec<D>) {
+    pub(super) fn queue_decisions<D: Into<Decision>>(&mut self, decisions: Vec<D>) {
         self.decisions.extend(decisions.into_iter().map(Into::into));
     }
 
@@ -196,31 +201,31 @@
         let quorum = self.membership.majority_catalogue();
         self.catalogue.tick(cx!(self, now), quorum);
         let decisions = self.rates.tick(cx!(self, now));
-        self.decide(decisions);
+        self.queue_decisions(decisions);
         let decisions = self.engines.tick(cx!(self, now));
-        self.decide(decisions);
+        self.queue_decisions(decisions);
         let decisions = self.services.tick(cx!(self, now));
-        self.decide(decisions);
+        self.queue_decisions(decisions);
         let decisions = self.journal.tick(cx!(self, now));
-        self.decide(decisions);
-        self.list_targets(now);
-        self.stop_on(now);
+        self.queue_decisions(decisions);
+        self.poll_target_list(now);
+        self.advance_stop(now);
     }
 
-    fn list_targets(&mut self, now: Time) {
-        if now < self.next_target_list {
+    fn poll_target_list(&mut self, now: Time) {
+        if now < self.next_target_list_at {
             return;
         }
-        self.next_target_list = now + self.cfg.list_interval;
-        self.target_lists += 1;
+        self.next_target_list_at = now + self.cfg.list_interval;
+        self.target_list_calls += 1;
         self.out.push(Action::Platform(PlatformCall {
-            id: CallId(self.target_lists),
+            id: CallId(self.target_list_calls),
             purpose: PlatformPurpose::TargetList,
             op: PlatformOp::ListTargets,
         }));
     }
 
-    fn message(&mut self, now: Time, from: &InstanceId, message: PeerMessage) {
+    fn handle_message(&mut self, now: Time, from: &InstanceId, message: PeerMessage) {
         match message {
             PeerMessage::Membership(message) => {
                 let catalogue = self.catalogue.reported();
@@ -232,20 +237,20 @@
             }
             PeerMessage::Rates(message) => {
                 let decisions = self.rates.message(cx!(self, now), from, message);
-                self.decide(decisions);
+                self.queue_decisions(decisions);
             }
             PeerMessage::Engines(message) => {
                 let decisions = self.engines.message(cx!(self, now), from, message);
-                self.decide(decisions);
+                self.queue_decisions(decisions);
             }
             PeerMessage::Journal(message) => {
                 let decisions = self.journal.message(cx!(self, now), from, message);
-                self.decide(decisions);
+                self.queue_decisions(decisions);
             }
         }
     }
 
-    fn platform(&mut self, now: Time, answer: PlatformAnswer) {
+    fn handle_platform_response(&mut self, now: Time, answer: PlatformResponse) {
         match &answer.purpose {
             PlatformPurpose::MapRead
             | PlatformPurpose::MapWrite
@@ -259,25 +264,25 @@
             }
             PlatformPurpose::Journal(_) => {
                 let decisions = self.journal.platform(cx!(self, now), answer);
-                self.decide(decisions);
+                self.queue_decisions(decisions);
             }
-            PlatformPurpose::TargetList => self.targets(now, answer.reply),
+            PlatformPurpose::TargetList => self.set_targets(now, answer.reply),
         }
     }
 
-    fn targets(&mut self, now: Time, reply: PlatformReply) {
-        // Without an answer the last list stays in force: an outage of the platform takes no
-        // target away.
+    fn set_targets(&mut self, now: Time, reply: PlatformReply) {
+        // If the list could not be read, the last one stays in force, so that a platform outage
+        // removes no targets.
         let PlatformReply::Targets(targets) = reply else {
             return;
         };
         let decisions = self.engines.set_targets(cx!(self, now), &targets);
-        self.decide(decisions);
+        self.queue_decisions(decisions);
         let decisions = self.services.set_targets(cx!(self, now), &targets);
-        self.decide(decisions);
+        self.queue_decisions(decisions);
     }
 
-    fn platform_changed(&mut self, now: Time, name: &ObjectName) {
+    fn handle_object_change(&mut self, now: Time, name: &ObjectName) {
         match name.as_str() {
             "map" => self.membership.map_hint(now, &mut self.out),
             "catalogue-head" => self.catalogue.head_hint(cx!(self, now)),
@@ -285,32 +290,38 @@
         }
     }
 
-    fn order_ended(&mut self, now: Time, id: OrderId, target: &TargetId, outcome: OrderOutcome) {
+    fn handle_order_outcome(
+        &mut self,
+        now: Time,
+        id: OrderId,
+        target: &TargetId,
+        outcome: OrderOutcome,
+    ) {
         let decisions = self
             .engines
             .order_ended(cx!(self, now), id, target, outcome);
-        self.decide(decisions);
+        self.queue_decisions(decisions);
     }
 
-    fn follow_map(&mut self, now: Time) {
-        if self.own().revision() == self.map {
+    fn apply_map_change(&mut self, now: Time) {
+        if self.ownership().revision() == self.map_revision {
             return;
         }
-        self.map = self.own().revision();
+        self.map_revision = self.ownership().revision();
         self.catalogue.map_changed(cx!(self, now));
         self.rates.map_changed(cx!(self, now));
         let decisions = self.engines.map_changed(cx!(self, now));
-        self.decide(decisions);
+        self.queue_decisions(decisions);
         let decisions = self.journal.map_changed(cx!(self, now));
-        self.decide(decisions);
+        self.queue_decisions(decisions);
     }
 
-    fn follow_catalogue(&mut self, now: Time) {
+    fn apply_catalogue_change(&mut self, now: Time) {
         if self.catalogue().revision == self.catalogue_revision {
             return;
         }
         self.catalogue_revision = self.catalogue().revision;
-        let mut gone = std::mem::take(&mut self.limited);
+        let mut removed = std::mem::take(&mut self.limited_workspaces);
         for entry in self.catalogue.state().workspaces() {
             let limits = Limits {
                 rate: entry.rate,
@@ -318,12 +329,12 @@
             };
             self.rates
                 .set_limits(cx!(self, now), &entry.id, Some(limits));
-            gone.remove(&entry.id);
-            self.limited.insert(entry.id.clone());
+            removed.remove(&entry.id);
+            self.limited_workspaces.insert(entry.id.clone());
         }
-        for workspace in gone {
+        for workspace in removed {
             self.rates.set_limits(cx!(self, now), &workspace, None);
         }
-        self.end_withdrawn(now);
+        self.withdraw_unentitled_requests(now);
     }
 }
--- a/crates/core/src/instance/decision.rs
+++ b/crates/core/src/instance/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions of the cores about callers' requests, on their way to the next step.
+//! Decisions of the cores about callers' requests, queued until the instance applies them.
 
 use crate::engines::PermitDecision;
 use crate::journal::JournalDecision;
@@ -8,13 +8,13 @@
 /// A core's decision about one request.
 #[derive(Debug)]
 pub(super) enum Decision {
-    /// Its tokens are charged, or it is refused.
+    /// The request's tokens were charged, or the request was refused.
     Rate(RateDecision),
-    /// It has a place in an engine, or is refused.
+    /// The request got a permit for an engine, or was refused.
     Permit(PermitDecision),
-    /// It has a place at a service's replica, or is refused.
+    /// The request got a slot at a service replica, or was refused.
     Slot(SlotDecision),
-    /// Its intent is recorded, it was answered before, or it is refused.
+    /// The request's intent was recorded, its stored response is replayed, or it was refused.
     Journal(JournalDecision),
 }
 
--- a/crates/core/src/instance/dispatch.rs
+++ b/crates/core/src/instance/dispatch.rs
@@ -1,22 +1,23 @@
-//! A charged request on its way to a target: placed, recorded if it may not be repeated, sent.
+//! Dispatch of charged requests: requests a target, records the intent of a call that may not be
+//! repeated, and hands the request to the shell.
 
 use crate::engines::{Permit, PermitEnd, PermitRequest};
 use crate::journal::{CallOutcome, JournalAsk, JournalStep};
 use crate::services::{Slot, SlotEnd};
-use crate::{Action, Cx, RequestAction, RequestId, StoredAnswer, Time};
+use crate::{Action, Cx, RequestAction, RequestId, StoredResponse, Time};
 
 use super::Instance;
+use super::active_request::{Job, Stage};
 use super::core::cx;
-use super::flight::{Job, Stage};
 
 impl Instance {
-    /// Looks for a target.
-    pub(super) fn place(&mut self, now: Time, id: RequestId) {
-        let Some(flight) = self.flights.get_mut(&id) else {
+    /// Requests a permit for an engine, or a slot at a service replica.
+    pub(super) fn request_target(&mut self, now: Time, id: RequestId) {
+        let Some(active_request) = self.active_requests.get_mut(&id) else {
             return;
         };
-        flight.stage = Stage::Place;
-        match &flight.job {
+        active_request.stage = Stage::Place;
+        match &active_request.job {
             Job::Generate {
                 adapter,
                 base_model,
@@ -26,9 +27,9 @@
                 prefix,
                 delivered,
             } => {
-                let ask = PermitRequest {
+                let request = PermitRequest {
                     request: id,
-                    workspace: flight.workspace.clone(),
+                    workspace: active_request.workspace.clone(),
                     adapter: adapter.clone(),
                     base_model: base_model.clone(),
                     urgent: *urgent,
@@ -36,23 +37,23 @@
                     max_answer: max_answer.saturating_sub(*delivered),
                     prefix: *prefix,
                 };
-                let decisions = self.engines.request_permit(cx!(self, now), ask);
-                self.decide(decisions);
+                let decisions = self.engines.request_permit(cx!(self, now), request);
+                self.queue_decisions(decisions);
             }
             Job::Call { service, .. } => {
                 let service = service.clone();
-                let decisions = self.services.ask(cx!(self, now), id, &service);
-                self.decide(decisions);
+                let decisions = self.services.request_slot(cx!(self, now), id, &service);
+                self.queue_decisions(decisions);
             }
         }
     }
 
-    pub(super) fn permitted(&mut self, now: Time, id: RequestId, permit: Permit) {
-        let Some(flight) = self.flights.get_mut(&id) else {
+    pub(super) fn handle_permit(&mut self, now: Time, id: RequestId, permit: Permit) {
+        let Some(active_request) = self.active_requests.get_mut(&id) else {
             let decisions = self
                 .engines
                 .permit_ended(cx!(self, now), id, PermitEnd::NotUsed);
-            self.decide(decisions);
+            self.queue_decisions(decisions);
             return;
         };
         let Job::Generate {
@@ -60,7 +61,7 @@
             max_answer,
             delivered,
             ..
-        } = &flight.job
+        } = &active_request.job
         else {
             return;
         };
@@ -72,56 +73,60 @@
             urgent: *urgent,
             send_before: permit.send_before,
         };
-        flight.stage = Stage::Send {
+        active_request.stage = Stage::Send {
             target: permit.target,
             before: permit.send_before,
         };
         self.out.push(Action::Request { id, action });
     }
 
-    pub(super) fn slotted(&mut self, now: Time, id: RequestId, slot: Slot) {
-        let Some(flight) = self.flights.get_mut(&id) else {
-            self.free_slot(now, id, SlotEnd::Fine);
+    pub(super) fn handle_slot(&mut self, now: Time, id: RequestId, slot: Slot) {
+        let Some(active_request) = self.active_requests.get_mut(&id) else {
+            self.release_slot(now, id, SlotEnd::NoFault);
             return;
         };
-        let Job::Call { service, call } = &flight.job else {
+        let Job::Call { service, call } = &active_request.job else {
             return;
         };
         let Some(key) = call.idempotency_key.clone().filter(|_key| !call.idempotent) else {
-            let before = now + self.cfg.permit_start;
+            let before = now + self.cfg.permit_start_timeout;
             self.send_call(id, slot, before);
             return;
         };
-        let ask = JournalAsk {
+        let request = JournalAsk {
             request: id,
-            workspace: flight.workspace.clone(),
+            workspace: active_request.workspace.clone(),
             service: service.clone(),
             key,
             fingerprint: call.fingerprint,
         };
-        flight.stage = Stage::Record { slot };
-        let decisions = self.journal.ask(cx!(self, now), ask);
-        self.decide(decisions);
+        active_request.stage = Stage::Record { slot };
+        let decisions = self.journal.ask(cx!(self, now), request);
+        self.queue_decisions(decisions);
     }
 
-    pub(super) fn recorded(&mut self, now: Time, id: RequestId, step: JournalStep) {
-        let slot = match self.flights.get(&id).map(|flight| &flight.stage) {
+    pub(super) fn handle_journal_step(&mut self, now: Time, id: RequestId, step: JournalStep) {
+        let slot = match self
+            .active_requests
+            .get(&id)
+            .map(|active_request| &active_request.stage)
+        {
             Some(Stage::Record { slot }) => Some(slot.clone()),
             _ => None,
         };
         match (step, slot) {
             (JournalStep::Go { send_before }, Some(slot)) => self.send_call(id, slot, send_before),
-            // The caller went away before the intent was recorded: nothing was sent, and the name
-            // is free again.
+            // The caller disconnected before the intent was recorded: nothing was sent, so the
+            // idempotency key may be used again.
             (JournalStep::Go { .. }, None) => {
-                if !self.flights.contains_key(&id) {
+                if !self.active_requests.contains_key(&id) {
                     self.journal
                         .finished(cx!(self, now), id, CallOutcome::NotRun);
                 }
             }
-            (JournalStep::Replay(answer), Some(_slot)) => self.replay(now, id, answer),
+            (JournalStep::Replay(answer), Some(_slot)) => self.replay_response(now, id, answer),
             (JournalStep::Refuse(refusal), Some(_slot)) => {
-                self.free_slot(now, id, SlotEnd::Fine);
+                self.release_slot(now, id, SlotEnd::NoFault);
                 self.refuse_charged(now, id, refusal);
             }
             (JournalStep::Replay(_) | JournalStep::Refuse(_), None) => {}
@@ -129,8 +134,8 @@
     }
 
     pub(super) fn send_call(&mut self, id: RequestId, slot: Slot, send_before: Time) {
-        if let Some(flight) = self.flights.get_mut(&id) {
-            flight.stage = Stage::Send {
+        if let Some(active_request) = self.active_requests.get_mut(&id) {
+            active_request.stage = Stage::Send {
                 target: slot.target.clone(),
                 before: send_before,
             };
@@ -143,11 +148,14 @@
         }
     }
 
-    pub(super) fn replay(&mut self, now: Time, id: RequestId, answer: StoredAnswer) {
-        self.free_slot(now, id, SlotEnd::Fine);
-        if let Some(flight) = self.flights.remove(&id) {
-            self.rates
-                .give_back(cx!(self, now), &flight.workspace, flight.charge);
+    pub(super) fn replay_response(&mut self, now: Time, id: RequestId, answer: StoredResponse) {
+        self.release_slot(now, id, SlotEnd::NoFault);
+        if let Some(active_request) = self.active_requests.remove(&id) {
+            self.rates.give_back(
+                cx!(self, now),
+                &active_request.workspace,
+                active_request.charge,
+            );
         }
         self.out.push(Action::Request {
             id,
--- a/crates/core/src/instance/mod.rs
+++ b/crates/core/src/instance/mod.rs
@@ -1,15 +1,15 @@
-//! One whole instance, composed of the cores.
+//! One instance, composed of the decision cores.
 
-mod arrival;
+mod active_request;
+mod admission;
 mod core;
 mod decision;
 mod dispatch;
-mod ending;
-mod flight;
+mod finish;
 mod requests;
 mod retry_budget;
 mod status;
 mod stop;
 
-pub use self::core::{EntryAnswer, Instance};
+pub use self::core::{EntryResponse, Instance};
 pub use self::status::{InstanceCatalogue, Status};
--- a/crates/core/src/instance/status.rs
+++ b/crates/core/src/instance/status.rs
@@ -1,4 +1,4 @@
-//! Status and dump: what an instance shows of its state.
+//! Status summary and state dump of an instance.
 
 use serde::Serialize;
 
@@ -11,99 +11,103 @@
 /// A summary of an instance for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// This life of this instance.
+    /// The local instance and its incarnation.
     pub me: MemberRef,
-    /// It can serve callers.
+    /// Whether the instance can serve callers.
     pub ready: bool,
-    /// It has a recent proof that its map is current.
+    /// Whether the instance holds a lease: a recent confirmation that its map is current.
     pub standing: bool,
-    /// The map in force here.
+    /// The map in force at this instance.
     pub map: Map,
-    /// The catalogue here.
+    /// Status of the local catalogue.
     pub catalogue: CatalogueStatus,
-    /// What is known here of each instance's catalogue.
+    /// Catalogue revision of each instance, as known to this one.
     pub instances: Vec<InstanceCatalogue>,
-    /// Workspaces that this instance is home of, and acts for now.
+    /// Keys that this instance owns and may act on now.
     pub homes: Vec<OwnershipKey>,
-    /// Groups of engines.
+    /// Summaries of the engine groups.
     pub groups: Vec<GroupSummary>,
-    /// Callers' requests under way here.
+    /// Number of callers' requests in progress at this instance.
     pub requests: usize,
-    /// Calls in doubt that it knows of as a home.
+    /// Number of calls with unknown outcome in the workspaces that this instance owns.
     pub in_doubt: usize,
-    /// A planned stop is under way.
+    /// Whether a planned stop is in progress.
     pub stopping: bool,
 }
 
-/// The catalogue of one instance, as another knows it.
+/// The catalogue revision of one instance, as known to another.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct InstanceCatalogue {
-    /// Which instance.
+    /// The instance.
     pub id: InstanceId,
-    /// The revision that it has in force; none while it is not sure or has not said.
+    /// The revision in force there; `None` if the instance is uncertain or has not reported one.
     pub revision: Option<Revision>,
 }
 
 impl Instance {
-    /// A summary for operators.
+    /// Returns a summary for operators.
     #[must_use]
     pub fn status(&self, now: Time) -> Status {
-        let own = self.own();
+        let ownership = self.ownership();
         let workspaces = self
             .catalogue()
             .workspaces()
             .map(|entry| OwnershipKey::Workspace(entry.id.clone()));
         let keys = workspaces.chain([OwnershipKey::WeightStore, OwnershipKey::Catalogue]);
         Status {
-            me: own.local.clone(),
+            me: ownership.local.clone(),
             ready: self.is_ready(now),
-            standing: own.has_lease(now),
-            map: own.map.clone(),
+            standing: ownership.has_lease(now),
+            map: ownership.map.clone(),
             catalogue: self.catalogue.status(now),
-            instances: self.catalogues(),
-            homes: keys.filter(|key| own.may_act(now, key)).collect(),
-            groups: self.engines.groups(own),
-            requests: self.flights.len(),
+            instances: self.instance_catalogues(),
+            homes: keys.filter(|key| ownership.may_act(now, key)).collect(),
+            groups: self.engines.groups(ownership),
+            requests: self.active_requests.len(),
             in_doubt: self.journal.in_doubt().len(),
             stopping: self.stopping.is_some(),
         }
     }
 
-    fn catalogues(&self) -> Vec<InstanceCatalogue> {
-        let map = &self.own().map;
-        let mine = (self.own().local.clone(), Some(self.catalogue.reported()));
-        let told: Vec<_> = self
+    fn instance_catalogues(&self) -> Vec<InstanceCatalogue> {
+        let map = &self.ownership().map;
+        let local = (
+            self.ownership().local.clone(),
+            Some(self.catalogue.reported()),
+        );
+        let reported: Vec<_> = self
             .membership
             .reported_catalogues()
-            .map(|(life, revision)| (life.clone(), revision))
-            .chain([mine])
-            .filter(|(life, _revision)| {
-                map.member(&life.id)
-                    .is_some_and(|member| member.incarnation == life.incarnation)
+            .map(|(member_ref, revision)| (member_ref.clone(), revision))
+            .chain([local])
+            .filter(|(member_ref, _revision)| {
+                map.member(&member_ref.id)
+                    .is_some_and(|member| member.incarnation == member_ref.incarnation)
             })
             .collect();
-        told.into_iter()
-            .map(|(life, revision)| InstanceCatalogue {
-                id: life.id,
-                revision: revision.filter(|revision| *revision != Revision::UNSURE),
+        reported
+            .into_iter()
+            .map(|(member_ref, revision)| InstanceCatalogue {
+                id: member_ref.id,
+                revision: revision.filter(|revision| *revision != Revision::UNCERTAIN),
             })
             .collect()
     }
 
-    /// All state of the cores, for a developer; keys and bodies are not part of it.
+    /// Returns the state of the cores as JSON for debugging, without keys and request bodies.
     #[must_use]
     pub fn dump(&self, now: Time) -> serde_json::Value {
-        let flights: Vec<_> = self
-            .flights
+        let active_requests: Vec<_> = self
+            .active_requests
             .iter()
-            .map(|(id, flight)| serde_json::json!({ "id": id.to_string(), "flight": flight }))
+            .map(|(id, active_request)| serde_json::json!({ "id": id.to_string(), "flight": active_request }))
             .collect();
         serde_json::json!({
             "now": now,
             "status": self.status(now),
-            "ownership": self.own(),
-            "flights": flights,
-            "retry_budget": self.budget,
+            "ownership": self.ownership(),
+            "flights": active_requests,
+            "retry_budget": self.retry_budget,
             "stopping": self.stopping,
             "services": self.services,
             "shares": self.rates.shares(now),
--- a/crates/core/src/instance/stop.rs
+++ b/crates/core/src/instance/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop.
+//! Planned stop of an instance.
 
 use std::time::Duration;
 
@@ -8,26 +8,27 @@
 
 use super::Instance;
 
-/// Beyond the entry answer's age: callers' clocks and connects take a moment.
-const ENTRY_MARGIN: Duration = Duration::from_millis(500);
+/// Added to the maximum age of an entry response, for callers' clock error and connection setup.
+const ENTRY_RESPONSE_MARGIN: Duration = Duration::from_millis(500);
 
-/// How long a stop waits for the platform to take the instance out of the map; after that the other
-/// instances will find it silent and drop it.
-const PLATFORM_PATIENCE: Duration = Duration::from_secs(30);
+/// How long a stop waits until the platform has removed the instance from the map.
+///
+/// After that the process ends anyway; the other instances then find it unresponsive and remove it.
+const MAP_REMOVAL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How far a planned stop is.
+/// Progress of a planned stop.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Stopping {
-    /// When it was asked for.
+    /// When the stop was requested.
     since: Time,
-    /// When the map first showed this instance leaving.
+    /// When the map first listed this instance as leaving.
     announced: Option<Time>,
-    /// The process was told to end.
+    /// Whether the shell was told to end the process.
     ended: bool,
 }
 
 impl Instance {
-    pub(super) fn stop(&mut self, now: Time) {
+    pub(super) fn begin_stop(&mut self, now: Time) {
         if self.stopping.is_some() {
             return;
         }
@@ -39,31 +40,31 @@
         self.membership.stop(now);
     }
 
-    /// Goes on with a planned stop.
+    /// Advances a planned stop.
     ///
-    /// Guards against a caller that uses an answer of `/v1/entry` from before the stop and finds
-    /// nobody: the instance serves until every such answer has aged out.
-    pub(super) fn stop_on(&mut self, now: Time) {
-        let leaving = !self.is_listed_active();
-        let left = self.membership.has_left();
-        let (served, recorded) = (self.flights.is_empty(), self.journal.is_quiet());
-        let max_age = self.cfg.entry_max_age + ENTRY_MARGIN;
+    /// The instance serves callers until every `/v1/entry` response from before the stop has
+    /// expired. Otherwise a caller that uses such a response could not connect.
+    pub(super) fn advance_stop(&mut self, now: Time) {
+        let is_leaving = !self.is_listed_active();
+        let is_removed = self.membership.has_left();
+        let (is_drained, is_recorded) = (self.active_requests.is_empty(), self.journal.is_quiet());
+        let max_age = self.cfg.entry_max_age + ENTRY_RESPONSE_MARGIN;
         let Some(stopping) = self.stopping.as_mut().filter(|stopping| !stopping.ended) else {
             return;
         };
-        if leaving && stopping.announced.is_none() {
+        if is_leaving && stopping.announced.is_none() {
             stopping.announced = Some(now);
         }
-        let aged_out = stopping
+        let has_expired = stopping
             .announced
             .is_some_and(|at| now.since(at) >= max_age);
-        let waited = now.since(stopping.since) >= PLATFORM_PATIENCE;
-        // Outcomes that the platform could not take in all that time stay in doubt, which is true.
-        let idle = served && (recorded || waited);
-        if !idle || !(aged_out || waited) {
+        let has_timed_out = now.since(stopping.since) >= MAP_REMOVAL_TIMEOUT;
+        // Outcomes that could not be recorded until the timeout stay in doubt, which is correct.
+        let is_idle = is_drained && (is_recorded || has_timed_out);
+        if !is_idle || !(has_expired || has_timed_out) {
             return;
         }
-        if left || waited {
+        if is_removed || has_timed_out {
             stopping.ended = true;
             self.out.push(Action::Exit);
             return;
@@ -71,17 +72,17 @@
         self.membership.set_drained(now);
     }
 
-    /// Whether the process was told to end.
+    /// Returns whether the shell was told to end the process.
     pub(super) fn has_ended(&self) -> bool {
         self.stopping.is_some_and(|stopping| stopping.ended)
     }
 
     fn is_listed_active(&self) -> bool {
-        let own = self.own();
-        own.is_member()
-            && own
+        let ownership = self.ownership();
+        ownership.is_member()
+            && ownership
                 .map
-                .member(&own.local.id)
-                .is_some_and(|me| me.state == MemberState::Active)
+                .member(&ownership.local.id)
+                .is_some_and(|local| local.state == MemberState::Active)
     }
 }
--- a/crates/core/src/journal/book.rs
+++ b/crates/core/src/journal/book.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::platform::{Expected, PlatformAnswer};
+use crate::platform::{Expected, PlatformResponse};
 use crate::{
     Action, CallId, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, ObjectName, OwnershipKey,
     PlatformCall, PlatformOp, PlatformPurpose, RequestId, Time, WorkspaceId,
@@ -107,7 +107,7 @@
 
     fn enter(&mut self, cx: &mut Cx<'_>, workspace: &WorkspaceId, item: Item) {
         if !cx
-            .own
+            .ownership
             .may_act(cx.now, &OwnershipKey::Workspace(workspace.clone()))
         {
             return;
@@ -118,7 +118,7 @@
     }
 
     /// Takes the platform's answer and goes on with the page it is about.
-    pub(super) fn platform_answered(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+    pub(super) fn platform_answered(&mut self, cx: &mut Cx<'_>, answer: PlatformResponse) {
         let PlatformPurpose::Journal(workspace) = answer.purpose else {
             return;
         };
@@ -193,7 +193,7 @@
         workspace: &WorkspaceId,
         key: &OwnershipKey,
     ) -> Option<PageName> {
-        if !cx.own.may_act(cx.now, key) {
+        if !cx.ownership.may_act(cx.now, key) {
             return None;
         }
         let mut pages = self.books.get(workspace)?.pages.iter();
--- a/crates/core/src/journal/caller.rs
+++ b/crates/core/src/journal/caller.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::{Refusal, RefusalKind, RequestId, StoredAnswer, Time};
+use crate::{Refusal, RefusalKind, RequestId, StoredResponse, Time};
 
 use super::message::Verdict;
 use super::{CallOutcome, JournalAsk, JournalStep};
@@ -184,7 +184,7 @@
     match outcome {
         CallOutcome::Answered(answer) => {
             let body = answer.body.filter(|body| body.len() <= LONGEST_BODY);
-            CallOutcome::Answered(StoredAnswer { body, ..answer })
+            CallOutcome::Answered(StoredResponse { body, ..answer })
         }
         CallOutcome::NotRun | CallOutcome::Unknown => outcome,
     }
--- a/crates/core/src/journal/content.rs
+++ b/crates/core/src/journal/content.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    CoreError, IdempotencyKey, MemberRef, ObjectName, RequestId, ServiceId, StoredAnswer,
+    CoreError, IdempotencyKey, MemberRef, ObjectName, RequestId, ServiceId, StoredResponse,
     WorkspaceId,
 };
 
@@ -28,7 +28,7 @@
     /// It may be sent by its sender, and by nobody else.
     Intent,
     /// It ran.
-    Answered(StoredAnswer),
+    Answered(StoredResponse),
     /// Its sender can't tell whether it ran.
     Unknown,
 }
--- a/crates/core/src/journal/core.rs
+++ b/crates/core/src/journal/core.rs
@@ -5,10 +5,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{
     Action, CallId, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, OwnershipKey, PeerMessage,
-    Refusal, RefusalKind, RequestId, Revision, ServiceId, StoredAnswer, Time, Tuning, WorkspaceId,
+    Refusal, RefusalKind, RequestId, Revision, ServiceId, StoredResponse, Time, Tuning,
+    WorkspaceId,
 };
 
 use super::JournalMessage;
@@ -40,7 +41,7 @@
         send_before: Time,
     },
     /// It ran before: answer with what it gave.
-    Replay(StoredAnswer),
+    Replay(StoredResponse),
     /// Not sent.
     Refuse(Refusal),
 }
@@ -58,7 +59,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum CallOutcome {
     /// The service answered.
-    Answered(StoredAnswer),
+    Answered(StoredResponse),
     /// Provably nothing ran: the name may be used again.
     NotRun,
     /// It may have run.
@@ -114,7 +115,7 @@
     pub fn ask(&mut self, cx: &mut Cx<'_>, ask: JournalAsk) -> Vec<JournalDecision> {
         self.sync(cx);
         let request = ask.request;
-        if !cx.own.has_lease(cx.now) {
+        if !cx.ownership.has_lease(cx.now) {
             let refusal = Refusal::not_run(RefusalKind::NoStanding);
             let step = JournalStep::Refuse(refusal);
             return vec![JournalDecision { request, step }];
@@ -140,7 +141,7 @@
     }
 
     /// Takes an answer to a `Journal` call.
-    pub fn platform(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) -> Vec<JournalDecision> {
+    pub fn platform(&mut self, cx: &mut Cx<'_>, answer: PlatformResponse) -> Vec<JournalDecision> {
         self.sync(cx);
         self.platform_answered(cx, answer);
         self.drain(cx)
@@ -200,12 +201,12 @@
     }
 
     fn sync(&mut self, cx: &mut Cx<'_>) {
-        if self.revision == Some(cx.own.revision()) {
+        if self.revision == Some(cx.ownership.revision()) {
             return;
         }
-        self.revision = Some(cx.own.revision());
+        self.revision = Some(cx.ownership.revision());
         self.members = cx
-            .own
+            .ownership
             .map
             .members
             .iter()
@@ -213,7 +214,7 @@
             .collect();
         // A home that is home no more forgets: what it has not said is asked for again elsewhere.
         self.books
-            .retain(|id, _book| cx.own.is_owner(&OwnershipKey::Workspace(id.clone())));
+            .retain(|id, _book| cx.ownership.is_owner(&OwnershipKey::Workspace(id.clone())));
         self.busy.retain(|id| self.books.contains_key(id));
         for call in self.calls.values_mut() {
             call.hurry(cx.now);
@@ -238,13 +239,13 @@
             return;
         };
         let key = OwnershipKey::Workspace(call.ask.workspace.clone());
-        let Some(home) = cx.own.owner(&key).cloned() else {
+        let Some(home) = cx.ownership.owner(&key).cloned() else {
             return;
         };
         let message = match call.word(cx.now) {
             CallWord::Nothing => return,
             CallWord::Ask => JournalMessage::Ask {
-                sender: cx.own.local.clone(),
+                sender: cx.ownership.local.clone(),
                 ask: call.ask.clone(),
             },
             CallWord::Report(outcome) => JournalMessage::Report {
@@ -258,7 +259,7 @@
     }
 
     pub(super) fn say(&mut self, cx: &mut Cx<'_>, to: &InstanceId, message: JournalMessage) {
-        if *to == cx.own.local.id {
+        if *to == cx.ownership.local.id {
             self.inbox.push_back(message);
             return;
         }
@@ -270,7 +271,7 @@
 
     fn drain(&mut self, cx: &mut Cx<'_>) -> Vec<JournalDecision> {
         let mut decisions = Vec::new();
-        let me = cx.own.local.id.clone();
+        let me = cx.ownership.local.id.clone();
         while let Some(message) = self.inbox.pop_front() {
             self.take(cx, &me, message, &mut decisions);
         }
--- a/crates/core/src/journal/message.rs
+++ b/crates/core/src/journal/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{IdempotencyKey, MemberRef, RequestId, StoredAnswer, WorkspaceId};
+use crate::{IdempotencyKey, MemberRef, RequestId, StoredResponse, WorkspaceId};
 
 use super::{CallOutcome, JournalAsk};
 
@@ -50,7 +50,7 @@
     /// The intent is in the journal: send it, once.
     Go,
     /// It ran before.
-    Replay(StoredAnswer),
+    Replay(StoredResponse),
     /// A call with this key is under way.
     InProgress,
     /// The platform does not take the intent now; the home goes on trying.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -37,17 +37,17 @@
     AdapterId, BaseModel, CallId, ChangeId, FailureDomain, GroupId, IdempotencyKey, InstanceId,
     KeyId, ObjectName, RequestId, ServiceId, TargetId, WorkspaceId,
 };
-pub use self::instance::{EntryAnswer, Instance, Status};
+pub use self::instance::{EntryResponse, Instance, Status};
 pub use self::keys::KeyDigest;
 pub use self::map::{Map, Member, MemberRef, MemberState, OwnershipKey, PastMap, Terms};
 pub use self::message::PeerMessage;
 pub use self::ownership::{Adoption, Ownership};
 pub use self::platform::{
-    Expected, ListedInstance, PlatformAnswer, PlatformCall, PlatformOp, PlatformPurpose,
-    PlatformReply, Versioned,
+    Expected, ListedInstance, PlatformCall, PlatformOp, PlatformPurpose, PlatformReply,
+    PlatformResponse, Versioned,
 };
 pub use self::refusal::{Ran, Refusal, RefusalKind};
-pub use self::request::{CallerRequest, CallerWork, Finish, ServiceCall, StoredAnswer};
+pub use self::request::{CallerRequest, CallerWork, Finish, ServiceCall, StoredResponse};
 pub use self::target::{
     AdapterRef, EngineReport, OrderId, OrderOutcome, TargetInfo, TargetKind, TargetOrder,
     TargetOrderKind,
--- a/crates/core/src/map.rs
+++ b/crates/core/src/map.rs
@@ -97,8 +97,8 @@
     fn from(cfg: &Tuning) -> Self {
         Self {
             grouping: cfg.grouping,
-            lease_duration: cfg.standing,
-            drift: cfg.drift,
+            lease_duration: cfg.lease_duration,
+            drift: cfg.max_clock_drift,
         }
     }
 }
--- a/crates/core/src/membership/core.rs
+++ b/crates/core/src/membership/core.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::platform::{PlatformAnswer, PlatformPurpose, PlatformReply};
+use crate::platform::{PlatformPurpose, PlatformReply, PlatformResponse};
 use crate::{
     Action, Adoption, Expected, InstanceId, Map, Member, MemberRef, Notice, Ownership, Revision,
     Terms, Time, Tuning, Versioned,
@@ -97,7 +97,7 @@
     }
 
     /// Handles a response to `MapRead`, `MapWrite` or `InstanceList`.
-    pub fn platform(&mut self, now: Time, answer: PlatformAnswer, out: &mut Vec<Action>) {
+    pub fn platform(&mut self, now: Time, answer: PlatformResponse, out: &mut Vec<Action>) {
         self.begin_step(now);
         match answer.purpose {
             PlatformPurpose::MapRead => self.complete_read(now, answer, out),
@@ -197,7 +197,8 @@
             .then(|| self.heartbeats.sent_at(heartbeat.echo))
             .flatten();
         let known_catalogue = self.peers.get(&sender).map(|peer| peer.catalogue);
-        if heartbeat.catalogue != Revision::UNSURE && known_catalogue < Some(heartbeat.catalogue) {
+        if heartbeat.catalogue != Revision::UNCERTAIN && known_catalogue < Some(heartbeat.catalogue)
+        {
             self.heartbeats.schedule_now();
         }
         self.retirement.apply_peer_report(heartbeat.retired_below);
@@ -217,14 +218,14 @@
             .push(now, interval, to, &self.ownership.map, out);
     }
 
-    fn complete_read(&mut self, now: Time, answer: PlatformAnswer, out: &mut Vec<Action>) {
+    fn complete_read(&mut self, now: Time, answer: PlatformResponse, out: &mut Vec<Action>) {
         let PlatformReply::Got(got) = answer.reply else {
             self.store.complete_read(now, &self.cfg, answer.id, false);
             return;
         };
         let is_current = self.store.complete_read(now, &self.cfg, answer.id, true);
         match got {
-            Some(object) => self.apply_read(now, answer.asked, &object, is_current, out),
+            Some(object) => self.apply_read(now, answer.sent_at, &object, is_current, out),
             None if is_current && self.ownership.revision() == Revision::default() => {
                 self.store.set_write_precondition(Some(Expected::Absent), 0);
             }
@@ -260,7 +261,7 @@
         }
     }
 
-    fn complete_write(&mut self, now: Time, answer: &PlatformAnswer, out: &mut Vec<Action>) {
+    fn complete_write(&mut self, now: Time, answer: &PlatformResponse, out: &mut Vec<Action>) {
         let retry = match answer.reply {
             PlatformReply::Written(version) => {
                 let Some(map) = self.store.complete_write(answer.id, version) else {
@@ -271,7 +272,7 @@
                 let previous_members = self.ownership.map.members.clone();
                 self.adopt(now, map, out);
                 self.store.set_write_precondition(precondition, history_len);
-                self.read_confirmed_at = self.read_confirmed_at.max(Some(answer.asked));
+                self.read_confirmed_at = self.read_confirmed_at.max(Some(answer.sent_at));
                 self.push_written_map(now, &previous_members, out);
                 return;
             }
@@ -293,7 +294,7 @@
         }
     }
 
-    fn complete_list(&mut self, now: Time, answer: &PlatformAnswer) {
+    fn complete_list(&mut self, now: Time, answer: &PlatformResponse) {
         if !self.store.complete_list(answer.id) {
             return;
         }
@@ -304,7 +305,7 @@
             };
             let map = &self.ownership.map;
             self.presence
-                .observe(answer.asked, list, map, is_unresponsive);
+                .observe(answer.sent_at, list, map, is_unresponsive);
         }
     }
 
@@ -370,9 +371,9 @@
         let has_lease = ownership.has_lease(now);
         if has_lease != self.had_lease {
             out.push(Action::Notice(if has_lease {
-                Notice::StandingRegained
+                Notice::LeaseRegained
             } else {
-                Notice::StandingLost
+                Notice::LeaseLost
             }));
         }
         self.had_lease = has_lease;
@@ -440,7 +441,7 @@
             failures: &self.failures,
             presence: &self.presence,
         };
-        let max_wait = self.cfg.standing * 2;
+        let max_wait = self.cfg.lease_duration * 2;
         self.lifecycle
             .effective_goal(now, &self.ownership, &view, max_wait)
     }
--- a/crates/core/src/membership/peers.rs
+++ b/crates/core/src/membership/peers.rs
@@ -33,7 +33,7 @@
     pub(super) heartbeat_sent_at: Time,
     /// The newest map that the peer had adopted.
     pub(super) map: Revision,
-    /// The catalogue revision in force at the peer, or [`Revision::UNSURE`].
+    /// The catalogue revision in force at the peer, or [`Revision::UNCERTAIN`].
     pub(super) catalogue: Revision,
 }
 
@@ -92,7 +92,7 @@
             return;
         };
         peer.adopted = peer.adopted.max(heartbeat.map);
-        if heartbeat.catalogue != Revision::UNSURE {
+        if heartbeat.catalogue != Revision::UNCERTAIN {
             peer.catalogue = peer.catalogue.max(heartbeat.catalogue);
         }
         if let Some(heartbeat_sent_at) = echoed_sent_at
--- a/crates/core/src/membership/quorum.rs
+++ b/crates/core/src/membership/quorum.rs
@@ -51,10 +51,10 @@
 ) -> Option<CatalogueQuorum> {
     let reported_at = |member: &MemberRef| {
         if member == local {
-            return (local_revision != Revision::UNSURE).then_some(now);
+            return (local_revision != Revision::UNCERTAIN).then_some(now);
         }
         let reply = peers.get(member)?.latest_reply?;
-        (reply.catalogue != Revision::UNSURE).then_some(reply.heartbeat_sent_at)
+        (reply.catalogue != Revision::UNCERTAIN).then_some(reply.heartbeat_sent_at)
     };
     let confirmed_at = majority_time(map, reported_at)?;
     let highest = member_refs(map)
@@ -77,7 +77,7 @@
     peers: &Peers,
 ) -> Revision {
     let in_force = |member: MemberRef| match local_revision {
-        Revision::UNSURE if member == *local => Revision::default(),
+        Revision::UNCERTAIN if member == *local => Revision::default(),
         local_revision if member == *local => local_revision,
         _ => peers
             .get(&member)
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -107,13 +107,13 @@
 
 /// A reply with the call it answers.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PlatformAnswer {
+pub struct PlatformResponse {
     /// The call's number, unique within its purpose.
     pub id: CallId,
     /// The call's purpose.
     pub purpose: PlatformPurpose,
     /// When the call was sent; proofs of standing count from here.
-    pub asked: Time,
+    pub sent_at: Time,
     /// What became of it.
     pub reply: PlatformReply,
 }
--- a/crates/core/src/rates/borrower.rs
+++ b/crates/core/src/rates/borrower.rs
@@ -48,7 +48,7 @@
         let Some(home) = self.home.clone() else {
             return;
         };
-        if cx.now < self.ask_due || !cx.own.has_lease(cx.now) {
+        if cx.now < self.ask_due || !cx.ownership.has_lease(cx.now) {
             return;
         }
         self.ask_due = cx.now + ASK_INTERVAL;
--- a/crates/core/src/rates/core.rs
+++ b/crates/core/src/rates/core.rs
@@ -61,7 +61,7 @@
     pub fn new(cfg: &Tuning) -> Self {
         Self {
             policy: cfg.rates,
-            patience: cfg.rate_patience,
+            patience: cfg.max_rate_wait,
             tenure: Tenure::default(),
             workspaces: BTreeMap::new(),
             busy: BTreeSet::new(),
@@ -81,7 +81,7 @@
         if charge > limits.burst {
             return RateStep::Refused(Refusal::not_run(RefusalKind::NeverAdmissible));
         }
-        if !cx.own.has_lease(cx.now) {
+        if !cx.ownership.has_lease(cx.now) {
             return RateStep::Refused(Refusal::not_run(RefusalKind::NoStanding));
         }
         self.limit(cx, workspace, Some(limits));
@@ -153,8 +153,8 @@
         // A message of another revision comes from another life of home or borrower, or is about
         // loans that were counted anew since: taken, it would create a share that two hold. Its
         // sender says it again when both ends are at the same map.
-        let is_current = message.revision == cx.own.revision();
-        if !is_current || !cx.own.is_member() || cx.own.map.member(from).is_none() {
+        let is_current = message.revision == cx.ownership.revision();
+        if !is_current || !cx.ownership.is_member() || cx.ownership.map.member(from).is_none() {
             return Vec::new();
         }
         match message.body {
@@ -174,7 +174,7 @@
     pub fn tick(&mut self, cx: &mut Cx<'_>) -> Vec<RateDecision> {
         self.sync(cx);
         self.tell_holdings(cx);
-        if is_leaving(cx.own) {
+        if is_leaving(cx.ownership) {
             self.hand_back_all(cx);
         }
         let mut decisions = Vec::new();
@@ -286,7 +286,7 @@
     }
 
     fn hand_back_all(&mut self, cx: &mut Cx<'_>) {
-        if self.policy != RatePolicy::Shares || !cx.own.has_lease(cx.now) {
+        if self.policy != RatePolicy::Shares || !cx.ownership.has_lease(cx.now) {
             return;
         }
         for entry in self.workspaces.values_mut() {
--- a/crates/core/src/rates/round_trip.rs
+++ b/crates/core/src/rates/round_trip.rs
@@ -101,7 +101,7 @@
             return;
         }
         self.waiting.remove(index);
-        let outcome = if cx.own.has_lease(cx.now) {
+        let outcome = if cx.ownership.has_lease(cx.now) {
             Ok(())
         } else {
             Err(Refusal::not_run(RefusalKind::NoStanding))
--- a/crates/core/src/rates/tenure.rs
+++ b/crates/core/src/rates/tenure.rs
@@ -58,7 +58,7 @@
 impl Rates {
     /// Follows the map in force.
     pub(super) fn sync(&mut self, cx: &mut Cx<'_>) {
-        if self.tenure.revision != Some(cx.own.revision()) {
+        if self.tenure.revision != Some(cx.ownership.revision()) {
             self.adopt(cx);
         }
         self.settle(cx);
@@ -66,15 +66,19 @@
 
     /// Counts shares anew under the map in force and tells each home what is held of its workspaces.
     fn adopt(&mut self, cx: &mut Cx<'_>) {
-        if !self.was_member_throughout(cx.own) {
+        if !self.was_member_throughout(cx.ownership) {
             self.let_go();
         }
-        let peers = cx.own.map.active().filter(|id| **id != cx.own.local.id);
-        let had_home = self.may_have_had_home(cx.own);
+        let peers = cx
+            .ownership
+            .map
+            .active()
+            .filter(|id| **id != cx.ownership.local.id);
+        let had_home = self.may_have_had_home(cx.ownership);
         self.tenure = Tenure {
             had_home,
-            has_home: cx.own.map.active().next().is_some(),
-            revision: Some(cx.own.revision()),
+            has_home: cx.ownership.map.active().next().is_some(),
+            revision: Some(cx.ownership.revision()),
             reported: BTreeSet::new(),
             untold: peers.map(|id| (id.clone(), cx.now)).collect(),
             is_settled: false,
@@ -91,7 +95,7 @@
 
     /// Sends holdings to the homes that have not noted them yet.
     pub(super) fn tell_holdings(&mut self, cx: &mut Cx<'_>) {
-        if self.policy == RatePolicy::EvenSplit || !cx.own.is_member() {
+        if self.policy == RatePolicy::EvenSplit || !cx.ownership.is_member() {
             return;
         }
         let is_due = |(_peer, due): &(&InstanceId, &Time)| cx.now >= **due;
@@ -104,7 +108,7 @@
             .collect();
         for peer in peers {
             let message = RatesMessage {
-                revision: cx.own.revision(),
+                revision: cx.ownership.revision(),
                 body: RatesBody::Holdings(self.holdings_of(cx, &peer)),
             };
             message.send(cx, &peer);
@@ -131,7 +135,7 @@
             self.settle(cx);
         }
         let message = RatesMessage {
-            revision: cx.own.revision(),
+            revision: cx.ownership.revision(),
             body: RatesBody::HoldingsNoted,
         };
         message.send(cx, from);
@@ -165,8 +169,8 @@
         if self.tenure.is_settled || self.policy == RatePolicy::EvenSplit {
             return;
         }
-        let is_complete = cx.own.is_member() && self.tenure.is_reported_by_all(cx.own);
-        if !is_complete || !departed_have_stopped(cx.own, cx.now) {
+        let is_complete = cx.ownership.is_member() && self.tenure.is_reported_by_all(cx.ownership);
+        if !is_complete || !departed_have_stopped(cx.ownership, cx.now) {
             return;
         }
         self.tenure.is_settled = true;
@@ -257,8 +261,13 @@
 // Baseline: the same part for each active instance, for good. It trusts that all are at the same
 // map, so it holds the limits less strictly than lent shares do.
 fn hold_even_part(cx: &Cx<'_>, entry: &mut Workspace, had_home: bool) {
-    let active = cx.own.map.active().count() as u128;
-    let is_active = cx.own.map.active().any(|id| *id == cx.own.local.id) && cx.own.is_member();
+    let active = cx.ownership.map.active().count() as u128;
+    let is_active = cx
+        .ownership
+        .map
+        .active()
+        .any(|id| *id == cx.ownership.local.id)
+        && cx.ownership.is_member();
     let part = if is_active {
         Share::part(1, active)
     } else {
--- a/crates/core/src/rates/workspace.rs
+++ b/crates/core/src/rates/workspace.rs
@@ -99,7 +99,7 @@
 
     /// Whether this instance may act as its home right now.
     pub fn acts(&self, cx: &Cx<'_>) -> bool {
-        self.lending.is_some() && cx.own.may_act(cx.now, &self.key())
+        self.lending.is_some() && cx.ownership.may_act(cx.now, &self.key())
     }
 
     /// Whether anything is to be done as time passes.
@@ -113,13 +113,13 @@
 
     /// Starts over under a new map revision: transfers under way are of no account any more.
     pub fn rebase(&mut self, cx: &Cx<'_>) {
-        self.home = cx.own.owner(&self.key()).cloned();
+        self.home = cx.ownership.owner(&self.key()).cloned();
         self.channel = Channel::default();
         self.ask_due = cx.now;
         self.dry_until = cx.now;
         self.is_unspent = false;
         self.is_settled = false;
-        let is_home = self.home.as_ref() == Some(&cx.own.local.id);
+        let is_home = self.home.as_ref() == Some(&cx.ownership.local.id);
         self.lending = is_home.then(Box::default);
     }
 
@@ -217,13 +217,13 @@
         }
         // Without standing the share may be lent to others already: spending it would show as a
         // rate exceeded. Standing is asked here, right before the charge.
-        if cx.own.has_lease(cx.now) && self.bucket.take(cx.now, head.charge) {
+        if cx.ownership.has_lease(cx.now) && self.bucket.take(cx.now, head.charge) {
             return Some(Ok(()));
         }
         if cx.now < head.since + self.patience(cx.now, patience) {
             return None;
         }
-        if !cx.own.has_lease(cx.now) {
+        if !cx.ownership.has_lease(cx.now) {
             return Some(Err(Refusal::not_run(RefusalKind::NoStanding)));
         }
         Some(Err(self.refusal(cx.now, head.charge)))
@@ -269,7 +269,7 @@
             return Share::part(own, total);
         }
         let slack = rate - total;
-        let members = cx.own.map.members.len().max(1) as u128;
+        let members = cx.ownership.map.members.len().max(1) as u128;
         let even = slack / (2 * members);
         let by_need = (slack * own).checked_div(2 * total).unwrap_or(even);
         Share::part(own + even + by_need, rate)
@@ -310,7 +310,7 @@
     /// Says something about this workspace to another instance.
     pub fn send(&self, cx: &mut Cx<'_>, to: &InstanceId, item: ShareItem) {
         let message = RatesMessage {
-            revision: cx.own.revision(),
+            revision: cx.ownership.revision(),
             body: RatesBody::Workspace {
                 workspace: self.id.clone(),
                 item,
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -54,7 +54,7 @@
         /// Tokens generated; zero for a service.
         answer: Tokens,
         /// The answer to keep for repeats; only for a call that may not be repeated.
-        stored: Option<StoredAnswer>,
+        stored: Option<StoredResponse>,
     },
     /// Nothing was sent, because it no longer may be.
     NotSent,
@@ -68,7 +68,7 @@
     /// The target no longer holds the adapter or holds another version.
     WrongAdapter,
     /// The answer broke off; so many tokens had been delivered.
-    BrokenOff {
+    Interrupted {
         /// Tokens delivered before the break.
         delivered: Tokens,
     },
@@ -81,7 +81,7 @@
 
 /// A service's answer, kept so that a repeat gets the same one.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct StoredAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
--- a/crates/core/src/services/core.rs
+++ b/crates/core/src/services/core.rs
@@ -1,4 +1,4 @@
-//! Choice of a replica for each call.
+//! Selection of a replica for each call.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -12,46 +12,46 @@
 
 use super::replica::Replica;
 
-/// How long a replica that refused a connection is left alone.
-const AVOID: Duration = Duration::from_secs(1);
+/// How long a replica gets no new calls after a failure.
+const AVOID_DURATION: Duration = Duration::from_secs(1);
 
-/// When a caller may ask again after it waited its whole time.
+/// Retry delay sent to a caller when no replica was available, or none became free in time.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A place at a replica.
+/// A slot for one call at a replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Slot {
-    /// Which replica.
+    /// The replica.
     pub target: TargetId,
-    /// Where it listens.
+    /// The replica's address.
     pub address: SocketAddr,
 }
 
-/// The outcome of an ask.
+/// The outcome of a slot request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SlotDecision {
-    /// Which request.
+    /// The request that the slot was requested for.
     pub request: RequestId,
-    /// A place, or a refusal.
+    /// The slot, or a refusal.
     pub outcome: Result<Slot, Refusal>,
 }
 
-/// How the use of a place ended.
+/// How the use of a slot ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SlotEnd {
-    /// The replica answered, or nothing was sent to it.
-    Fine,
-    /// It refused the connection, refused the call, or broke off.
+    /// The replica responded, or nothing was sent to it.
+    NoFault,
+    /// The replica refused the connection, rejected the call, or interrupted its response.
     Failed,
-    /// It is on its way out.
+    /// The replica is shutting down.
     Leaving,
 }
 
-/// Shares out the replicas of plain services among this instance's callers.
+/// Assigns the replicas of plain services to the calls of this instance's callers.
 #[derive(Debug, Serialize)]
 pub struct Services {
     #[serde(skip)]
-    patience: Duration,
+    max_wait: Duration,
     replicas: BTreeMap<ServiceId, Vec<Replica>>,
     waiting: BTreeMap<ServiceId, VecDeque<Waiting>>,
     held: BTreeMap<RequestId, Held>,
@@ -70,25 +70,25 @@
 }
 
 impl Services {
-    /// No replicas known, nothing waiting.
+    /// Creates the state with no replicas and no waiting calls.
     #[must_use]
     pub const fn new(cfg: &Tuning) -> Self {
         Self {
-            patience: cfg.queue_patience,
+            max_wait: cfg.max_queue_wait,
             replicas: BTreeMap::new(),
             waiting: BTreeMap::new(),
             held: BTreeMap::new(),
         }
     }
 
-    /// A call needs a replica.
-    pub fn ask(
+    /// Queues a call for a slot at a replica of `service`, and returns the decisions made.
+    pub fn request_slot(
         &mut self,
         cx: &mut Cx<'_>,
         request: RequestId,
         service: &ServiceId,
     ) -> Vec<SlotDecision> {
-        let give_up = cx.now + self.patience;
+        let give_up = cx.now + self.max_wait;
         self.waiting
             .entry(service.clone())
             .or_default()
@@ -96,15 +96,15 @@
         self.serve(cx, service)
     }
 
-    /// The caller of a waiting request went away.
+    /// Removes a waiting request whose caller disconnected.
     pub fn cancel(&mut self, request: RequestId) {
         for queue in self.waiting.values_mut() {
             queue.retain(|waiting| waiting.request != request);
         }
     }
 
-    /// The use of a place ended.
-    pub fn finished(
+    /// Releases a slot, and returns the decisions on calls that waited for one.
+    pub fn slot_ended(
         &mut self,
         cx: &mut Cx<'_>,
         request: RequestId,
@@ -116,17 +116,17 @@
         if let Some(replica) = self.replica(&held) {
             replica.in_flight = replica.in_flight.saturating_sub(1);
             match end {
-                SlotEnd::Fine => {}
-                SlotEnd::Failed => replica.avoid_until = cx.now + AVOID,
+                SlotEnd::NoFault => {}
+                SlotEnd::Failed => replica.avoid_until = cx.now + AVOID_DURATION,
                 SlotEnd::Leaving => replica.leaving = true,
             }
         }
         self.serve(cx, &held.service)
     }
 
-    /// The platform's list of targets, engines included (ignored here).
+    /// Updates the replicas from the platform's list of targets; engines in it are ignored.
     pub fn set_targets(&mut self, cx: &mut Cx<'_>, targets: &[TargetInfo]) -> Vec<SlotDecision> {
-        let mut before = std::mem::take(&mut self.replicas);
+        let mut known_replicas = std::mem::take(&mut self.replicas);
         for info in targets {
             let TargetKind::Service {
                 service,
@@ -135,7 +135,7 @@
             else {
                 continue;
             };
-            let known = before.get_mut(service).and_then(|replicas| {
+            let known = known_replicas.get_mut(service).and_then(|replicas| {
                 replicas
                     .iter()
                     .position(|replica| replica.id == info.id)
@@ -145,7 +145,7 @@
                 id: info.id.clone(),
                 address: info.address,
                 concurrency: *concurrency,
-                // The list lags: a replica that said itself that it leaves stays out.
+                // The list lags, so a replica that reported its shutdown itself stays excluded.
                 leaving: info.leaving
                     || known
                         .as_ref()
@@ -161,14 +161,14 @@
         self.serve_all(cx)
     }
 
-    /// Time passed.
+    /// Assigns free slots, and refuses the calls that have waited too long.
     pub fn tick(&mut self, cx: &mut Cx<'_>) -> Vec<SlotDecision> {
         let mut decisions = self.serve_all(cx);
         for queue in self.waiting.values_mut() {
-            while let Some(late) = queue.pop_front_if(|waiting| cx.now >= waiting.give_up) {
+            while let Some(expired) = queue.pop_front_if(|waiting| cx.now >= waiting.give_up) {
                 let refusal = Refusal::retry_after(RefusalKind::Overloaded, RETRY_AFTER);
                 decisions.push(SlotDecision {
-                    request: late.request,
+                    request: expired.request,
                     outcome: Err(refusal),
                 });
             }
@@ -208,7 +208,7 @@
                 .collect();
         };
         while !queue.is_empty() {
-            let Some(replica) = pick(cx, replicas) else {
+            let Some(replica) = pick_replica(cx, replicas) else {
                 break;
             };
             let Some(next) = queue.pop_front() else {
@@ -233,25 +233,27 @@
     }
 }
 
-/// The open replica with the most room left for this instance.
-fn pick<'a>(cx: &Cx<'_>, replicas: &'a mut [Replica]) -> Option<&'a mut Replica> {
-    let parts: u32 = replicas
+/// Returns the open replica with the most free capacity for this instance.
+fn pick_replica<'a>(cx: &Cx<'_>, replicas: &'a mut [Replica]) -> Option<&'a mut Replica> {
+    let shares: u32 = replicas
         .iter()
-        .map(|replica| replica.part(&cx.own.map, &cx.own.local))
+        .map(|replica| replica.concurrency_share(&cx.ownership.map, &cx.ownership.local))
         .sum();
-    // With more instances than places, some instances' parts are all zero; one call at a time is
-    // let through, or their callers would never be served.
-    let least = u32::from(parts == 0);
+    // With more instances than slots, some instances' shares are all zero. Such an instance may run
+    // one call at a time, or its callers would never be served.
+    let min_share = u32::from(shares == 0);
     replicas
         .iter_mut()
         .filter(|replica| replica.is_open(cx.now))
         .filter_map(|replica| {
-            let part = replica.part(&cx.own.map, &cx.own.local).max(least);
-            let room = part
+            let share = replica
+                .concurrency_share(&cx.ownership.map, &cx.ownership.local)
+                .max(min_share);
+            let free = share
                 .checked_sub(replica.in_flight)
-                .filter(|room| *room > 0)?;
-            Some((room, replica))
+                .filter(|free| *free > 0)?;
+            Some((free, replica))
         })
-        .max_by_key(|(room, replica)| (*room, std::cmp::Reverse(replica.id.clone())))
-        .map(|(_room, replica)| replica)
+        .max_by_key(|(free, replica)| (*free, std::cmp::Reverse(replica.id.clone())))
+        .map(|(_free, replica)| replica)
 }
--- a/crates/core/src/services/mod.rs
+++ b/crates/core/src/services/mod.rs
@@ -1,6 +1,6 @@
-//! Plain services: which replica takes a call.
+//! Plain services: selects a replica for each call.
 //!
-//! Services need no home: the instances divide each replica's concurrency among themselves.
+//! Services need no owner: the instances divide each replica's concurrency among themselves.
 
 mod core;
 mod replica;
--- a/crates/core/src/services/replica.rs
+++ b/crates/core/src/services/replica.rs
@@ -7,7 +7,7 @@
 
 use crate::{Map, MemberRef, TargetId, Time};
 
-/// A replica and what this instance has running on it.
+/// A replica and the number of calls that this instance runs on it.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Replica {
     pub(super) id: TargetId,
@@ -19,24 +19,24 @@
 }
 
 impl Replica {
-    /// How many calls this instance may have running on the replica.
+    /// Returns the maximum number of concurrent calls from this instance to the replica.
     ///
-    /// The parts of all active instances sum to the replica's concurrency; which instances get one
-    /// more than others differs from replica to replica.
-    pub(super) fn part(&self, map: &Map, me: &MemberRef) -> u32 {
+    /// The shares of all active instances sum to the replica's concurrency. Which instances get one
+    /// call more than others differs from replica to replica.
+    pub(super) fn concurrency_share(&self, map: &Map, local: &MemberRef) -> u32 {
         let active: Vec<_> = map.active().collect();
-        let Some(position) = active.iter().position(|id| **id == me.id) else {
+        let Some(position) = active.iter().position(|id| **id == local.id) else {
             return 0;
         };
         let count = u32::try_from(active.len()).unwrap_or(u32::MAX);
         let position = u32::try_from(position).unwrap_or(u32::MAX);
-        let turn =
+        let offset =
             u32::try_from(xxh3_64(self.id.as_str().as_bytes()) % u64::from(count)).unwrap_or(0);
-        let rank = (position + turn) % count;
+        let rank = (position + offset) % count;
         self.concurrency / count + u32::from(rank < self.concurrency % count)
     }
 
-    /// Whether new calls may go to it.
+    /// Returns whether the replica accepts new calls.
     pub(super) fn is_open(&self, now: Time) -> bool {
         !self.leaving && now >= self.avoid_until
     }
--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -12,9 +12,9 @@
     /// A peer silent for this long is proposed to be dropped from the map.
     pub suspect_after: Duration,
     /// How long a proof of standing holds (T), counted from when its question was sent.
-    pub standing: Duration,
+    pub lease_duration: Duration,
     /// Bound on how much two clocks drift apart over one `standing`.
-    pub drift: Duration,
+    pub max_clock_drift: Duration,
     /// Time between two consistent reads of the map.
     pub map_read_interval: Duration,
     /// Time between two reads of the platform's lists.
@@ -30,11 +30,11 @@
     /// How a workspace's rate is spread over instances.
     pub rates: RatePolicy,
     /// How long a request may wait for its workspace's tokens to accrue or move.
-    pub rate_patience: Duration,
+    pub max_rate_wait: Duration,
     /// How long a request may wait for a permit.
-    pub queue_patience: Duration,
+    pub max_queue_wait: Duration,
     /// How long a granted permit may wait to be used.
-    pub permit_start: Duration,
+    pub permit_start_timeout: Duration,
     /// How long an outcome of a call that may not be repeated is kept.
     pub outcome_retention: Duration,
     /// Time between two load reports asked of an engine.
@@ -50,8 +50,8 @@
         Self {
             heartbeat_interval: Duration::from_millis(400),
             suspect_after: Duration::from_millis(1_600),
-            standing: Duration::from_secs(2),
-            drift: Duration::from_millis(50),
+            lease_duration: Duration::from_secs(2),
+            max_clock_drift: Duration::from_millis(50),
             map_read_interval: Duration::from_secs(1),
             list_interval: Duration::from_secs(2),
             entry_max_age: Duration::from_secs(2),
@@ -59,9 +59,9 @@
             placement: Placement::Affinity,
             queue: QueueOrder::Fair,
             rates: RatePolicy::Shares,
-            rate_patience: Duration::from_secs(1),
-            queue_patience: Duration::from_secs(30),
-            permit_start: Duration::from_secs(1),
+            max_rate_wait: Duration::from_secs(1),
+            max_queue_wait: Duration::from_secs(30),
+            permit_start_timeout: Duration::from_secs(1),
             outcome_retention: Duration::from_hours(24),
             report_interval: Duration::from_millis(500),
             store_loads_per_second: 3,
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -59,7 +59,7 @@
     /// newest.
     ///
     /// No majority that proves a catalogue current may count such an instance.
-    pub const UNSURE: Self = Self(u64::MAX);
+    pub const UNCERTAIN: Self = Self(u64::MAX);
 
     /// The revision after this one.
     #[must_use]
--- a/crates/core/tests/catalogue_order.rs
+++ b/crates/core/tests/catalogue_order.rs
@@ -6,8 +6,8 @@
 use bluebellstage_core::catalogue::{ApplyOutcome, Change, ChangeRequest, WorkspaceEntry};
 use bluebellstage_core::{
     Action, Event, Expected, Incarnation, Instance, Member, MemberState, ObjectVersion,
-    PlatformAnswer, PlatformCall, PlatformOp, PlatformReply, Rate, Revision, Time, Tokens, Tuning,
-    Versioned,
+    PlatformCall, PlatformOp, PlatformReply, PlatformResponse, Rate, Revision, Time, Tokens,
+    Tuning, Versioned,
 };
 
 const HEAD: &str = "catalogue-head";
@@ -19,7 +19,7 @@
     objects: BTreeMap<String, Versioned>,
     version: u64,
     holds_head_writes: bool,
-    held: Vec<PlatformAnswer>,
+    held: Vec<PlatformResponse>,
     outcomes: Vec<ApplyOutcome>,
 }
 
@@ -69,10 +69,10 @@
     fn call(&mut self, asked: Time, call: PlatformCall) {
         let is_head_write =
             matches!(&call.op, PlatformOp::Put { name, .. } if name.as_str() == HEAD);
-        let answer = PlatformAnswer {
+        let answer = PlatformResponse {
             id: call.id,
             purpose: call.purpose,
-            asked,
+            sent_at: asked,
             reply: self.effect(call.op),
         };
         if is_head_write && self.holds_head_writes {
@@ -141,7 +141,7 @@
     alone.holds_head_writes = true;
     alone.change(1);
     assert_eq!(alone.held.len(), 1);
-    alone.step(Event::PlatformChanged(HEAD.parse().unwrap()));
+    alone.step(Event::ObjectChanged(HEAD.parse().unwrap()));
     alone.run_for(500);
     alone.holds_head_writes = false;
     let answer = alone.held.remove(0);
--- a/crates/core/tests/engines.rs
+++ b/crates/core/tests/engines.rs
@@ -205,7 +205,7 @@
         harness.hear("b", queued);
         harness.pass(50);
     }
-    assert_eq!(harness.now, requested_at + Tuning::default().queue_patience);
+    assert_eq!(harness.now, requested_at + Tuning::default().max_queue_wait);
     let refusal = harness.decisions.remove(0).outcome.unwrap_err();
     let expected = Refusal::retry_after(RefusalKind::Overloaded, Duration::from_secs(10));
     assert_eq!(refusal, expected);
--- a/crates/core/tests/engines_fuzz.rs
+++ b/crates/core/tests/engines_fuzz.rs
@@ -26,7 +26,7 @@
 /// The seed of runs that must always give the same verdict.
 const FIXED_SEED: u64 = 20_261_202;
 
-/// How much later than `queue_patience` an ask may be decided: one tick, and the node's standing
+/// How much later than `max_queue_wait` an ask may be decided: one tick, and the node's standing
 /// still while it was frozen.
 const DECISION_BOUND: u64 = SECOND / 10;
 
@@ -121,7 +121,7 @@
 }
 
 fn check_decisions(world: &World) {
-    let patience = u64::try_from(world.cfg.queue_patience.as_micros()).unwrap();
+    let patience = u64::try_from(world.cfg.max_queue_wait.as_micros()).unwrap();
     for record in world.record.requests.values() {
         let node = &world.nodes[record.node];
         let gone = !node.alive || node.life != record.life || record.cancelled;
--- a/crates/core/tests/instances/catalogue.rs
+++ b/crates/core/tests/instances/catalogue.rs
@@ -315,7 +315,7 @@
     fleet.run_for(IN_FORCE_WITHIN_MILLIS);
     let instance = fleet.nodes[2].instance.as_ref().unwrap();
     let now = fleet.nodes[2].clock(fleet.now);
-    assert!(instance.own().has_lease(now));
+    assert!(instance.ownership().has_lease(now));
     assert!(instance.catalogue().revision < Revision(200));
     assert!(!instance.is_ready(now));
 }
--- a/crates/core/tests/instances/fleet/callers.rs
+++ b/crates/core/tests/instances/fleet/callers.rs
@@ -1,6 +1,6 @@
 //! What callers asked for and what they got.
 
-use bluebellstage_core::{CallerWork, Refusal, StoredAnswer, Tokens};
+use bluebellstage_core::{CallerWork, Refusal, StoredResponse, Tokens};
 
 /// What a caller got in the end.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -8,7 +8,7 @@
     /// The whole answer, from a run.
     Complete,
     /// The answer of an earlier run.
-    Replayed(StoredAnswer),
+    Replayed(StoredResponse),
     /// A refusal.
     Refused(Refusal),
     /// The connection was ended in mid-answer.
--- a/crates/core/tests/instances/fleet/dispatch.rs
+++ b/crates/core/tests/instances/fleet/dispatch.rs
@@ -1,9 +1,9 @@
 //! The shell's part: carries actions out at the platform and the targets.
 
 use bluebellstage_core::{
-    Event, Finish, ListedInstance, ObjectName, OrderOutcome, PlatformAnswer, PlatformCall,
-    PlatformReply, RequestAction, RequestEvent, RequestId, StoredAnswer, TargetId, TargetOrder,
-    TargetOrderKind, Time, Tokens,
+    Event, Finish, ListedInstance, ObjectName, OrderOutcome, PlatformCall, PlatformReply,
+    PlatformResponse, RequestAction, RequestEvent, RequestId, StoredResponse, TargetId,
+    TargetOrder, TargetOrderKind, Time, Tokens,
 };
 use rand::Rng;
 
@@ -34,10 +34,10 @@
             PlatformReply::Unavailable
         };
         let lost = reply == PlatformReply::Unknown;
-        let answer = PlatformAnswer {
+        let answer = PlatformResponse {
             id: call.id,
             purpose: call.purpose,
-            asked,
+            sent_at: asked,
             reply,
         };
         let delivery = Delivery::Event {
@@ -73,7 +73,7 @@
                 self.later(Delivery::Event {
                     node,
                     life,
-                    event: Event::PlatformChanged(name.clone()),
+                    event: Event::ObjectChanged(name.clone()),
                 });
             }
         }
@@ -162,7 +162,7 @@
             }
             RequestAction::Replay(answer) => self.answer(id, Answer::Replayed(answer)),
             RequestAction::Refuse(refusal) => self.answer(id, Answer::Refused(refusal)),
-            RequestAction::Cut(refusal) => {
+            RequestAction::Interrupt(refusal) => {
                 self.answer(id, Answer::Cut(refusal));
                 let event = RequestEvent::Finished(Finish::CallerGone {
                     delivered: Tokens(0),
@@ -275,7 +275,7 @@
         }
         let answer = self.callers[&id].tokens();
         let body = Some(format!("run of {id}").into());
-        let stored = StoredAnswer {
+        let stored = StoredResponse {
             status: 200,
             content_type: "text/plain".into(),
             body,
--- a/crates/core/tests/instances/fleet/faults.rs
+++ b/crates/core/tests/instances/fleet/faults.rs
@@ -59,7 +59,7 @@
             self.end_run(request);
             let node = self.callers[&request].node;
             let life = self.nodes[node].incarnation.0;
-            let event = RequestEvent::Finished(Finish::BrokenOff {
+            let event = RequestEvent::Finished(Finish::Interrupted {
                 delivered: Tokens(0),
             });
             self.schedule(
--- a/crates/core/tests/instances/fleet/oracle.rs
+++ b/crates/core/tests/instances/fleet/oracle.rs
@@ -25,8 +25,9 @@
                 .filter(|node| node.is_running())
                 .filter(|node| {
                     let instance = node.instance.as_ref();
-                    instance
-                        .is_some_and(|instance| instance.own().may_act(node.clock(self.now), key))
+                    instance.is_some_and(|instance| {
+                        instance.ownership().may_act(node.clock(self.now), key)
+                    })
                 })
                 .map(|node| node.id.to_string())
                 .collect();
--- a/crates/core/tests/instances/stop.rs
+++ b/crates/core/tests/instances/stop.rs
@@ -1,6 +1,6 @@
 //! Planned stops: no request is cut off.
 
-use bluebellstage_core::EntryAnswer;
+use bluebellstage_core::EntryResponse;
 
 use crate::fleet::{Answer, Fleet, FleetBuilder, Health};
 use crate::world::{self, NORTH, SOUTH};
@@ -17,7 +17,7 @@
 /// Callers that keep an answer of `/v1/entry` for as long as it allows.
 #[derive(Default)]
 struct Callers {
-    entry: Option<(u64, EntryAnswer)>,
+    entry: Option<(u64, EntryResponse)>,
     round: usize,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-fn ask_entry(fleet: &Fleet, node: usize) -> Option<(u64, EntryAnswer)> {
+fn ask_entry(fleet: &Fleet, node: usize) -> Option<(u64, EntryResponse)> {
     let instance = fleet.nodes[node].instance.as_ref()?;
     let entry = instance.entry(fleet.nodes[node].clock(fleet.now));
     let until = fleet.now + u64::try_from(entry.max_age.as_micros()).unwrap();
--- a/crates/core/tests/instances/whole_path.rs
+++ b/crates/core/tests/instances/whole_path.rs
@@ -30,14 +30,20 @@
 fn an_instance_goes_by_the_map_s_terms_and_says_that_its_settings_differ() {
     let mut fleet = FleetBuilder::instances(3).build();
     fleet.until_ready();
-    let terms = fleet.nodes[0].instance.as_ref().unwrap().own().map.terms;
+    let terms = fleet.nodes[0]
+        .instance
+        .as_ref()
+        .unwrap()
+        .ownership()
+        .map
+        .terms;
     fleet.kill(2);
     fleet.run_for(6_000);
-    fleet.cfg.standing /= 4;
+    fleet.cfg.lease_duration /= 4;
     fleet.start(2);
     fleet.until_ready();
     let newcomer = fleet.nodes[2].instance.as_ref().unwrap();
-    assert_eq!(newcomer.own().map.terms, terms);
+    assert_eq!(newcomer.ownership().map.terms, terms);
     let told = |notice: &Notice| *notice == Notice::TermsDiffer(terms);
     assert!(
         fleet
--- a/crates/core/tests/rates.rs
+++ b/crates/core/tests/rates.rs
@@ -235,7 +235,7 @@
     let mut out = Vec::new();
     let mut cx = Cx {
         now: seat.local(0),
-        own: &seat.own,
+        ownership: &seat.own,
         out: &mut out,
     };
     let mut rates = Rates::new(&Tuning::default());
@@ -298,7 +298,7 @@
     let mut step = |now: u64, seat: &Seat, rates: &mut Rates, request: u128| {
         let mut cx = Cx {
             now: seat.local(now),
-            own: &seat.own,
+            ownership: &seat.own,
             out: &mut out,
         };
         let limits = limits(1_000, 10_000);
@@ -319,7 +319,7 @@
     step(1_000_000, &seat, &mut rates, 2);
     let mut cx = Cx {
         now: seat.local(1_000_000),
-        own: &seat.own,
+        ownership: &seat.own,
         out: &mut Vec::new(),
     };
     let admitted = rates.tick(&mut cx);
--- a/crates/core/tests/rates_compare.rs
+++ b/crates/core/tests/rates_compare.rs
@@ -104,7 +104,7 @@
     fleet.run(100);
     fleet.set_limits(&workspace(0), Some(limits(RATE, BURST)), 0);
     fleet.run(100);
-    let mut central = Central::new(limits(RATE, BURST), fleet.now, cfg.rate_patience);
+    let mut central = Central::new(limits(RATE, BURST), fleet.now, cfg.max_rate_wait);
     let mut asked = BTreeSet::new();
     let mut killed = None;
     let messages = fleet.messages;
--- a/crates/core/tests/support/engines/chaos.rs
+++ b/crates/core/tests/support/engines/chaos.rs
@@ -159,7 +159,7 @@
     pub fn build(&self) -> World {
         let cfg = Tuning {
             grouping: self.grouping,
-            queue_patience: std::time::Duration::from_secs(12),
+            max_queue_wait: std::time::Duration::from_secs(12),
             store_loads_per_second: 2,
             store_in_flight: self.store_in_flight,
             ..Tuning::default()
--- a/crates/core/tests/support/engines/lone.rs
+++ b/crates/core/tests/support/engines/lone.rs
@@ -90,7 +90,7 @@
         let mut out = Vec::new();
         let mut cx = Cx {
             now: self.now,
-            own: &self.own,
+            ownership: &self.own,
             out: &mut out,
         };
         let decisions = act(&mut self.core, &mut cx);
--- a/crates/core/tests/support/engines/membership.rs
+++ b/crates/core/tests/support/engines/membership.rs
@@ -28,7 +28,7 @@
             },
             changed_at: 0,
             ended: Vec::new(),
-            span: u64::try_from((cfg.standing + cfg.drift).as_micros()).unwrap(),
+            span: u64::try_from((cfg.lease_duration + cfg.max_clock_drift).as_micros()).unwrap(),
         }
     }
 
--- a/crates/core/tests/support/engines/node.rs
+++ b/crates/core/tests/support/engines/node.rs
@@ -79,7 +79,7 @@
         let mut out = Vec::new();
         let mut cx = Cx {
             now: Time(now + self.offset),
-            own: &self.own,
+            ownership: &self.own,
             out: &mut out,
         };
         let started = Instant::now();
--- a/crates/core/tests/support/journal_fleet.rs
+++ b/crates/core/tests/support/journal_fleet.rs
@@ -6,7 +6,7 @@
     CallOutcome, Journal, JournalAsk, JournalDecision, JournalMessage, JournalStep,
 };
 use bluebellstage_core::{
-    Action, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, PeerMessage, PlatformAnswer, Ran,
+    Action, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, PeerMessage, PlatformResponse, Ran,
     Refusal, RequestId, Time, Tuning, WorkspaceId,
 };
 use rand::{Rng, SeedableRng};
@@ -49,7 +49,7 @@
     nodes: BTreeMap<InstanceId, Node>,
     script: Script,
     flights: Vec<Flight>,
-    answers: Vec<(MemberRef, PlatformAnswer)>,
+    answers: Vec<(MemberRef, PlatformResponse)>,
     dispatches: Vec<Dispatch>,
     running: Vec<Running>,
     pub platform: Platform<MemberRef>,
@@ -362,7 +362,7 @@
         let mut out = Vec::new();
         let mut cx = Cx {
             now: local,
-            own: &node.seat.own,
+            ownership: &node.seat.own,
             out: &mut out,
         };
         let result = act(&mut node.journal, &mut cx);
--- a/crates/core/tests/support/journal_platform.rs
+++ b/crates/core/tests/support/journal_platform.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bluebellstage_core::{
-    Expected, ObjectName, ObjectVersion, PlatformAnswer, PlatformCall, PlatformOp, PlatformReply,
+    Expected, ObjectName, ObjectVersion, PlatformCall, PlatformOp, PlatformReply, PlatformResponse,
     Time, Versioned,
 };
 use rand::Rng;
@@ -93,7 +93,7 @@
     }
 
     /// Lets calls take effect, and gives those whose answer is due.
-    pub fn run(&mut self, now: u64) -> Vec<(C, PlatformAnswer)>
+    pub fn run(&mut self, now: u64) -> Vec<(C, PlatformResponse)>
     where
         C: Clone,
     {
@@ -168,16 +168,16 @@
     }
 }
 
-fn answer<C>(flight: &Flight<C>) -> PlatformAnswer {
+fn answer<C>(flight: &Flight<C>) -> PlatformResponse {
     let reply = match &flight.reply {
         _ if flight.is_lost => PlatformReply::Unknown,
         None => PlatformReply::Unavailable,
         Some(reply) => reply.clone(),
     };
-    PlatformAnswer {
+    PlatformResponse {
         id: flight.call.id,
         purpose: flight.call.purpose.clone(),
-        asked: flight.asked,
+        sent_at: flight.asked,
         reply,
     }
 }
--- a/crates/core/tests/support/journal_service.rs
+++ b/crates/core/tests/support/journal_service.rs
@@ -1,7 +1,7 @@
 //! A fake of a plain service whose calls may not be repeated.
 
 use bluebellstage_core::journal::{CallOutcome, JournalAsk, JournalStep};
-use bluebellstage_core::{MemberRef, Refusal, RefusalKind, RequestId, StoredAnswer};
+use bluebellstage_core::{MemberRef, Refusal, RefusalKind, RequestId, StoredResponse};
 
 /// What the fake service does with a call that reaches it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -33,8 +33,8 @@
 }
 
 /// The service's answer to a request.
-pub fn answer(request: RequestId, bytes: usize) -> StoredAnswer {
-    StoredAnswer {
+pub fn answer(request: RequestId, bytes: usize) -> StoredResponse {
+    StoredResponse {
         status: 200,
         content_type: "text/plain".into(),
         body: Some(format!("{:<bytes$}", request.to_string()).into()),
--- a/crates/core/tests/support/membership_harness.rs
+++ b/crates/core/tests/support/membership_harness.rs
@@ -5,9 +5,9 @@
 use bluebellstage_core::membership::{Heartbeat, Membership, MembershipMessage};
 use bluebellstage_core::{
     Action, CallId, Expected, FailureDomain, Incarnation, InstanceId, ListedInstance, Map, Member,
-    MemberRef, MemberState, Notice, ObjectVersion, Ownership, OwnershipKey, PastMap,
-    PlatformAnswer, PlatformOp, PlatformPurpose, PlatformReply, Revision, Terms, Time, Tuning,
-    Versioned, WorkspaceId,
+    MemberRef, MemberState, Notice, ObjectVersion, Ownership, OwnershipKey, PastMap, PlatformOp,
+    PlatformPurpose, PlatformReply, PlatformResponse, Revision, Terms, Time, Tuning, Versioned,
+    WorkspaceId,
 };
 
 const TICK_INTERVAL_MS: u64 = 50;
@@ -116,10 +116,10 @@
 
     fn answer(&mut self, purpose: PlatformPurpose, requested_at: Time, reply: PlatformReply) {
         let id = self.latest_call(&purpose);
-        let answer = PlatformAnswer {
+        let answer = PlatformResponse {
             id,
             purpose,
-            asked: requested_at,
+            sent_at: requested_at,
             reply,
         };
         self.membership.platform(self.now, answer, &mut self.out);
--- a/crates/core/tests/support/membership_net.rs
+++ b/crates/core/tests/support/membership_net.rs
@@ -4,8 +4,8 @@
 
 use bluebellstage_core::membership::MembershipMessage;
 use bluebellstage_core::{
-    Action, Incarnation, InstanceId, Notice, PeerMessage, PlatformAnswer, PlatformCall,
-    PlatformReply, Revision, Time,
+    Action, Incarnation, InstanceId, Notice, PeerMessage, PlatformCall, PlatformReply,
+    PlatformResponse, Revision, Time,
 };
 use rand::Rng;
 
@@ -26,7 +26,7 @@
 pub enum Input {
     Tick,
     Message(InstanceId, PeerMessage),
-    Answer(PlatformAnswer),
+    Answer(PlatformResponse),
 }
 
 #[derive(Debug)]
@@ -262,10 +262,10 @@
     }
 
     fn answer(&mut self, pending: &PendingCall, reply: PlatformReply, delay: u64) {
-        let answer = PlatformAnswer {
+        let answer = PlatformResponse {
             id: pending.call.id,
             purpose: pending.call.purpose.clone(),
-            asked: pending.requested_at,
+            sent_at: pending.requested_at,
             reply,
         };
         let arrival = Arrival::At {
--- a/crates/core/tests/support/rates_fleet.rs
+++ b/crates/core/tests/support/rates_fleet.rs
@@ -362,7 +362,7 @@
         let mut out = Vec::new();
         let mut cx = Cx {
             now: node.seat.local(self.now),
-            own: &node.seat.own,
+            ownership: &node.seat.own,
             out: &mut out,
         };
         let result = act(&mut node.rates, &mut cx);
--- a/crates/core/tests/support/rates_membership.rs
+++ b/crates/core/tests/support/rates_membership.rs
@@ -62,8 +62,8 @@
                 history: Vec::new(),
             },
             changed_at: now,
-            standing: cfg.standing,
-            drift: cfg.drift,
+            standing: cfg.lease_duration,
+            drift: cfg.max_clock_drift,
         }
     }
 
--- a/crates/daemon/src/process/carry.rs
+++ b/crates/daemon/src/process/carry.rs
@@ -88,11 +88,11 @@
                     "drift_ms" = drift_ms
                 );
             }
-            Notice::StandingLost => {
+            Notice::LeaseLost => {
                 self.metrics.standing(false);
                 log_event!(StandingLost);
             }
-            Notice::StandingRegained => {
+            Notice::LeaseRegained => {
                 self.metrics.standing(true);
                 log_event!(StandingRegained);
             }
--- a/crates/daemon/src/process/platform/client.rs
+++ b/crates/daemon/src/process/platform/client.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bluebellstage_core::{
-    Expected, Incarnation, ObjectName, ObjectVersion, PlatformAnswer, PlatformCall, PlatformOp,
-    PlatformReply,
+    Expected, Incarnation, ObjectName, ObjectVersion, PlatformCall, PlatformOp, PlatformReply,
+    PlatformResponse,
 };
 use reqwest::{Client, Method, RequestBuilder, Response, StatusCode};
 use serde::de::DeserializeOwned;
@@ -62,7 +62,7 @@
         metrics: &Metrics,
         timeout: Duration,
         call: PlatformCall,
-    ) -> PlatformAnswer {
+    ) -> PlatformResponse {
         let operation = operation(&call.op);
         // Read before the question is sent: proofs of standing count from here.
         let asked = clock.now();
@@ -75,10 +75,10 @@
             Failure::Unknown(_) => PlatformReply::Unknown,
         });
         metrics.platform_call(operation, outcome_label(&reply));
-        PlatformAnswer {
+        PlatformResponse {
             id: call.id,
             purpose: call.purpose,
-            asked,
+            sent_at: asked,
             reply,
         }
     }
--- a/crates/daemon/src/process/platform/watch.rs
+++ b/crates/daemon/src/process/platform/watch.rs
@@ -112,6 +112,6 @@
     let version = metadata.resource_version.and_then(|raw| raw.parse().ok());
     *from = version.map_or(*from, |version: ObjectVersion| version.max(*from));
     if let Ok(name) = metadata.name.as_ref().try_into() {
-        shell.feed(Event::PlatformChanged(name));
+        shell.feed(Event::ObjectChanged(name));
     }
 }
--- a/crates/daemon/src/request/engine.rs
+++ b/crates/daemon/src/request/engine.rs
@@ -71,7 +71,7 @@
         match timeout(silence, request.send()).await {
             Ok(Ok(response)) => sent(response).await,
             Ok(Err(error)) if error.is_connect() => Sent::Failed(Finish::Unreachable),
-            Ok(Err(_)) | Err(_) => Sent::Failed(Finish::BrokenOff { delivered }),
+            Ok(Err(_)) | Err(_) => Sent::Failed(Finish::Interrupted { delivered }),
         }
     }
 
--- a/crates/daemon/src/request/relay/steps.rs
+++ b/crates/daemon/src/request/relay/steps.rs
@@ -41,7 +41,7 @@
                 None
             }
             RequestAction::Refuse(refusal) => Some(self.fail(refusal)),
-            RequestAction::Cut(refusal) => {
+            RequestAction::Interrupt(refusal) => {
                 log_event!(StreamCut, "request" = self.handle.id());
                 self.cancel();
                 Some(self.fail(refusal))
@@ -101,7 +101,7 @@
                 self.break_off(run);
                 None
             }
-            Answer::Begun(Sent::Failed(finish @ Finish::BrokenOff { .. })) => {
+            Answer::Begun(Sent::Failed(finish @ Finish::Interrupted { .. })) => {
                 run.engine.cancel();
                 self.handle.finished(finish);
                 None
@@ -206,7 +206,7 @@
         );
         run.engine.cancel();
         self.stage = Stage::Deciding;
-        self.handle.finished(Finish::BrokenOff {
+        self.handle.finished(Finish::Interrupted {
             delivered: Tokens(self.delivered),
         });
     }
--- a/crates/daemon/src/request/service.rs
+++ b/crates/daemon/src/request/service.rs
@@ -5,7 +5,7 @@
 
 use bluebellstage_core::{
     Finish, IdempotencyKey, Refusal, RefusalKind, RequestAction, RequestId, ServiceCall, ServiceId,
-    StoredAnswer, Tokens,
+    StoredResponse, Tokens,
 };
 use futures::StreamExt;
 use reqwest::Method;
@@ -115,7 +115,7 @@
             RequestAction::Replay(stored) => {
                 return Ok(ServiceAnswer::earlier(handle.id(), stored));
             }
-            RequestAction::Refuse(refusal) | RequestAction::Cut(refusal) => {
+            RequestAction::Refuse(refusal) | RequestAction::Interrupt(refusal) => {
                 return Err(Refused::new(refusal, handle.id()));
             }
             // Only generations get this.
@@ -148,7 +148,7 @@
         sending.await
     };
     let delivered = Tokens(0);
-    match sent.unwrap_or(Err(Finish::BrokenOff { delivered })) {
+    match sent.unwrap_or(Err(Finish::Interrupted { delivered })) {
         Ok(answer) => {
             log_event!(
                 RequestEnded,
@@ -172,7 +172,9 @@
 
 fn cut(action: RequestAction, id: RequestId) -> Refused {
     match action {
-        RequestAction::Cut(refusal) | RequestAction::Refuse(refusal) => Refused::new(refusal, id),
+        RequestAction::Interrupt(refusal) | RequestAction::Refuse(refusal) => {
+            Refused::new(refusal, id)
+        }
         RequestAction::Call { .. } | RequestAction::Generate { .. } | RequestAction::Replay(_) => {
             Refused::new(Refusal::unknown(RefusalKind::TargetFailed), id)
         }
@@ -186,7 +188,7 @@
     address: SocketAddr,
     id: RequestId,
 ) -> Result<ServiceAnswer, Finish> {
-    let broken = Finish::BrokenOff {
+    let broken = Finish::Interrupted {
         delivered: Tokens(0),
     };
     let url = format!("http://{address}{}", request.target);
@@ -241,7 +243,7 @@
 }
 
 impl ServiceAnswer {
-    fn earlier(request: RequestId, stored: StoredAnswer) -> Self {
+    fn earlier(request: RequestId, stored: StoredResponse) -> Self {
         let origin = if stored.body.is_some() {
             Origin::Earlier
         } else {
@@ -260,10 +262,10 @@
         }
     }
 
-    fn to_store(&self) -> StoredAnswer {
+    fn to_store(&self) -> StoredResponse {
         let text = std::str::from_utf8(&self.body).ok();
         let kept = text.filter(|text| text.len() <= KEPT_ANSWER_BYTES);
-        StoredAnswer {
+        StoredResponse {
             status: self.status,
             content_type: self.content_type.clone(),
             body: kept.map(Into::into),
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -68,14 +68,14 @@
         let tuning = Tuning {
             heartbeat_interval: self.millis(&raw.heartbeat_ms, &keys::HEARTBEAT),
             suspect_after: self.millis(&raw.suspect_ms, &keys::SUSPECT),
-            standing: self.millis(&raw.standing_ms, &keys::STANDING),
-            drift: self.millis(&raw.drift_ms, &keys::DRIFT),
+            lease_duration: self.millis(&raw.standing_ms, &keys::STANDING),
+            max_clock_drift: self.millis(&raw.drift_ms, &keys::DRIFT),
             map_read_interval: self.millis(&raw.map_read_ms, &keys::MAP_READ),
             list_interval: self.millis(&raw.list_ms, &keys::LIST),
             entry_max_age: self.millis(&raw.entry_max_age_ms, &keys::ENTRY_MAX_AGE),
-            rate_patience: self.millis(&raw.rate_patience_ms, &keys::RATE_PATIENCE),
-            queue_patience: self.millis(&raw.queue_patience_ms, &keys::QUEUE_PATIENCE),
-            permit_start: self.millis(&raw.permit_start_ms, &keys::PERMIT_START),
+            max_rate_wait: self.millis(&raw.rate_patience_ms, &keys::RATE_PATIENCE),
+            max_queue_wait: self.millis(&raw.queue_patience_ms, &keys::QUEUE_PATIENCE),
+            permit_start_timeout: self.millis(&raw.permit_start_ms, &keys::PERMIT_START),
             outcome_retention: Duration::from_secs(
                 self.number(&raw.outcome_retention_s, &keys::OUTCOME_RETENTION),
             ),
@@ -96,7 +96,7 @@
                 "set it to at least twice timing.heartbeat_ms",
             );
         }
-        if tuning.standing <= tuning.map_read_interval {
+        if tuning.lease_duration <= tuning.map_read_interval {
             self.problem(
                 raw.standing_ms.line().or(raw.map_read_ms.line()),
                 keys::STANDING.key,
