--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -1,4 +1,4 @@
-//! What a core wants done: the only way out of the cores.
+//! Actions: the only output of the cores.
 
 use std::net::SocketAddr;
 
@@ -9,37 +9,37 @@
     Tokens,
 };
 
-/// Something that the shell is to do.
+/// An action that the shell must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Deliver a message to another instance, once or not at all; order is not kept.
+    /// Deliver a message to another instance, at most once and in any order.
     Send {
-        /// To which instance.
+        /// The receiving instance.
         to: InstanceId,
-        /// What to deliver.
+        /// The message.
         message: Box<PeerMessage>,
     },
-    /// Call the platform; the answer comes back as an event.
+    /// Call the platform; the response is returned as an event.
     Platform(PlatformCall),
-    /// Send an order to an engine; the outcome comes back as an event.
+    /// Send an order to an engine; the outcome is returned as an event.
     Order(TargetOrder),
-    /// Go on with a caller's request.
+    /// Perform the next step of a caller's request.
     Request {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// What to do with it.
+        /// The step to perform.
         action: RequestAction,
     },
-    /// Answer an operator's catalogue change.
+    /// Report the outcome of an operator's catalogue change.
     Applied {
-        /// Which change.
+        /// The change.
         change: ChangeId,
-        /// What became of it.
+        /// The outcome of the change.
         outcome: ApplyOutcome,
     },
     /// Write a log event and count it.
     Notice(Notice),
-    /// The planned stop is done: end the process.
+    /// End the process, because the planned stop is complete.
     Exit,
 }
 
@@ -48,68 +48,71 @@
 pub enum RequestAction {
     /// Stream a generation from an engine to the caller.
     Generate {
-        /// Which engine.
+        /// The engine.
         target: TargetId,
-        /// Where it listens.
+        /// The target's address.
         address: SocketAddr,
-        /// What must run.
+        /// The adapter that must run.
         adapter: AdapterRef,
-        /// The longest answer to ask for; after a break less than the caller asked for.
+        /// Maximum response length to request; less than the caller requested if an interrupted
+        /// response is continued.
         max_answer: Tokens,
-        /// Urgent work goes first inside the engine too.
+        /// Whether the engine should give the request precedence over batch requests.
         urgent: bool,
-        /// Not to be sent at or after this time: the permit may be given to another by then.
+        /// Deadline: must not be sent at or after this time, because the permit may then be granted
+        /// to another request.
         send_before: Time,
     },
-    /// Pass a call on to a plain service.
+    /// Forward a call to a plain service.
     Call {
-        /// Which replica.
+        /// The replica.
         target: TargetId,
-        /// Where it listens.
+        /// The target's address.
         address: SocketAddr,
-        /// Not to be sent at or after this time.
+        /// Deadline: must not be sent at or after this time.
         send_before: Time,
     },
-    /// Answer with what an earlier run of the same call gave.
+    /// Send the stored response of an earlier run of the same call.
     Replay(StoredResponse),
-    /// Refuse, at once.
+    /// Refuse the request immediately.
     Refuse(Refusal),
-    /// End the caller's connection and the target's work: the key that it came with was withdrawn.
+    /// Close the caller's connection and stop the target's work, because the request's key was
+    /// withdrawn.
     Interrupt(Refusal),
 }
 
-/// Something that happened inside a core that operators may want to see.
+/// An event inside a core that is reported to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// A newer map is in force.
     MapAdopted(Box<Map>),
-    /// The map's terms differ from this instance's settings; the map's hold.
+    /// The map's terms differ from this instance's settings; the map's terms apply.
     TermsDiffer(Terms),
-    /// Standing was lost: this instance stops acting as a home.
+    /// The lease was lost: this instance stops acting as an owner.
     LeaseLost,
-    /// Standing is back.
+    /// The lease was regained.
     LeaseRegained,
-    /// A peer is silent and proposed to be dropped.
+    /// A peer is unresponsive and its removal from the map was proposed.
     PeerSuspected(InstanceId),
-    /// A newer catalogue revision is in force here.
+    /// A newer catalogue revision is in force at this instance.
     CatalogueAdopted(Revision),
-    /// The platform showed a catalogue head older than the one in force; it was ignored.
+    /// The platform returned a catalogue head older than the one in force; it was ignored.
     CatalogueBehind(Revision),
-    /// An object of the platform does not parse.
+    /// A platform object could not be parsed.
     ObjectMalformed(ObjectName),
     /// An adapter's load was ordered.
     LoadOrdered(TargetId, AdapterRef),
     /// An adapter's load ended; true if it succeeded.
     LoadEnded(TargetId, AdapterRef, bool),
-    /// An adapter was ordered out of its slot.
+    /// The unload of an adapter was ordered to free its slot.
     Evicted(TargetId, AdapterRef),
-    /// An engine refused an order with an old fencing number.
+    /// An engine refused an order with an outdated fencing number.
     OrderFenced(TargetId),
-    /// An engine restarted: its slots are empty.
+    /// An engine restarted, so its slots are empty.
     EngineRestarted(TargetId),
-    /// A call that may not be repeated is in doubt.
+    /// The outcome of a call that may not be repeated is unknown.
     CallInDoubt(RequestId),
-    /// A workspace's share moved between instances.
+    /// A workspace's rate share was moved between instances.
     ShareMoved(CallId),
     /// A failure domain lost all its instances from the map.
     DomainLost(FailureDomain),
--- a/crates/core/src/cx.rs
+++ b/crates/core/src/cx.rs
@@ -1,14 +1,14 @@
-//! What every step of a core is given.
+//! Context passed to every step of a core.
 
 use crate::{Action, Ownership, Time};
 
-/// The moment of a step, who may act at that moment, and where its actions go.
+/// Context of a step: the time, the ownership view and the queue of resulting actions.
 #[derive(Debug)]
 pub struct Cx<'a> {
-    /// The moment.
+    /// Time of the step.
     pub now: Time,
-    /// Who may act.
+    /// The local instance's view of the ownership map and of its own lease.
     pub ownership: &'a Ownership,
-    /// What is to be done, in order.
+    /// Resulting actions, in order.
     pub out: &'a mut Vec<Action>,
 }
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,26 +1,26 @@
 //! Errors of this crate; each message names the remedy.
 
-/// What can be wrong with raw input to the cores.
+/// An error in raw input to the cores.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum CoreError {
-    /// Text that is no identifier.
+    /// The text is not a valid identifier.
     #[error("`{raw}` is no {kind} name: use 1 to 128 letters, digits or any of - _ . / :")]
     MalformedId {
-        /// What the identifier names.
+        /// The kind of thing that the identifier names.
         kind: &'static str,
-        /// The text, cut to the longest legal length.
+        /// The text, truncated to the maximum length of an identifier.
         raw: Box<str>,
     },
-    /// Text that is no whole number.
+    /// The text is not a whole number.
     #[error("`{raw}` is no {kind}: use a whole number of at most 20 digits")]
     MalformedNumber {
-        /// What the number counts.
+        /// The quantity that the number stands for.
         kind: &'static str,
-        /// The text, cut.
+        /// The text, truncated.
         raw: Box<str>,
     },
-    /// A stored object that does not parse.
+    /// A stored object could not be parsed.
     #[error(
         "platform object `{object}` does not parse ({cause}): restore its last version, then retry"
     )]
@@ -30,10 +30,10 @@
         /// The parser's message.
         cause: Box<str>,
     },
-    /// A catalogue change that contradicts the catalogue.
+    /// A catalogue change conflicts with the catalogue.
     #[error("change refused: {cause}")]
     InvalidChange {
-        /// What contradicts, and what to do about it.
+        /// The conflict and its remedy.
         cause: Box<str>,
     },
 }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to an instance: the only way into the cores.
+//! Events: the only input of the cores.
 
 use crate::catalogue::ChangeRequest;
 use crate::platform::PlatformResponse;
@@ -7,51 +7,51 @@
     TargetId, Tokens,
 };
 
-/// Something that happened.
+/// An input event of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time passed; the shell sends one at least every 50 ms.
+    /// Time has passed; the shell sends a tick at least every 50 ms.
     Tick,
-    /// Another instance sent something.
+    /// A message from another instance was received.
     Message {
-        /// Which instance.
+        /// The sending instance.
         from: InstanceId,
-        /// What it sent.
+        /// The message.
         message: Box<PeerMessage>,
     },
-    /// The platform answered.
+    /// A platform call completed.
     Platform(PlatformResponse),
-    /// A watch saw an object change; only a hint, to be followed by a consistent read.
+    /// A watch reported a changed object. This is only a hint; a consistent read must follow.
     ObjectChanged(ObjectName),
     /// An order to an engine ended.
     OrderEnded {
-        /// Which order.
+        /// The order.
         id: OrderId,
-        /// To which engine.
+        /// The engine that the order was sent to.
         target: TargetId,
-        /// What became of it.
+        /// The outcome of the order.
         outcome: OrderOutcome,
     },
-    /// Something happened to a caller's request.
+    /// An event of a caller's request.
     Request {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// What happened.
+        /// The event.
         event: RequestEvent,
     },
-    /// An operator changes the catalogue here.
+    /// An operator requested a catalogue change at this instance.
     Change(ChangeRequest),
-    /// An operator or a signal asks for a planned stop.
+    /// An operator or a signal requested a planned stop.
     Stop,
 }
 
-/// What happens to a caller's request.
+/// An event of a caller's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestEvent {
-    /// It arrived.
+    /// The request arrived.
     Arrived(CallerRequest),
-    /// The answer goes on: so many tokens were delivered by now.
+    /// The response progressed; carries the total number of tokens delivered so far.
     Progress(Tokens),
-    /// Its dispatch ended.
+    /// The dispatch of the request ended.
     Finished(Finish),
 }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers: checked text and number newtypes.
+//! Identifiers: newtypes over validated text and numbers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 
 use crate::CoreError;
 
-/// Longest text of an identifier, in bytes; keeps names usable in paths, logs and object names.
+/// Maximum length of an identifier, in bytes; keeps names usable in paths, logs and object names.
 pub const MAX_ID_BYTES: usize = 128;
 
-fn checked(kind: &'static str, raw: &str) -> Result<Box<str>, CoreError> {
+fn validate(kind: &'static str, raw: &str) -> Result<Box<str>, CoreError> {
     let fits = !raw.is_empty() && raw.len() <= MAX_ID_BYTES;
     let legal = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '/' | ':');
     if fits && raw.chars().all(legal) {
@@ -30,7 +30,7 @@
         pub struct $name(Box<str>);
 
         impl $name {
-            /// The text of the identifier.
+            /// Returns the text of the identifier.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -41,7 +41,7 @@
             type Error = CoreError;
 
             fn try_from(raw: &str) -> Result<Self, CoreError> {
-                checked($kind, raw).map(Self)
+                validate($kind, raw).map(Self)
             }
         }
 
@@ -49,7 +49,7 @@
             type Error = CoreError;
 
             fn try_from(raw: Box<str>) -> Result<Self, CoreError> {
-                checked($kind, &raw).map(Self)
+                validate($kind, &raw).map(Self)
             }
         }
 
@@ -63,7 +63,7 @@
             type Err = CoreError;
 
             fn from_str(s: &str) -> Result<Self, CoreError> {
-                checked($kind, s).map(Self)
+                validate($kind, s).map(Self)
             }
         }
 
@@ -84,13 +84,13 @@
     ChangeId, "change";
     /// Name of a failure domain.
     FailureDomain, "failure domain";
-    /// Name of a group of engines that one home schedules together.
+    /// Name of a group of engines that one owner schedules together.
     GroupId, "engine group";
-    /// Name that a caller gives to a request that may not be repeated.
+    /// Name that a caller chooses for a request that may not be repeated.
     IdempotencyKey, "idempotency key";
     /// Name of an instance; kept across its restarts.
     InstanceId, "instance";
-    /// Public name of a workspace's key; never the key itself.
+    /// Public name of a workspace's key, not the key itself.
     KeyId, "key";
     /// Name of an object in the platform's object API.
     ObjectName, "object";
@@ -129,8 +129,8 @@
 }
 
 number_id! {
-    /// One call to the platform, unique within a process.
+    /// Number of a platform call, unique within a process.
     CallId(u64), "platform call";
-    /// One caller's request, unique over all instances and their restarts.
+    /// Number of a caller's request, unique across all instances and their restarts.
     RequestId(u128), "request";
 }
--- a/crates/core/src/instance/finish.rs
+++ b/crates/core/src/instance/finish.rs
@@ -57,8 +57,8 @@
     /// Retries a generation on another engine, continuing after the tokens already delivered to the
     /// caller.
     ///
-    /// Generations are idempotent. The request is refused if the key or adapter was withdrawn, or if
-    /// its retries or the retry budget are exhausted.
+    /// Generations are idempotent. The request is refused if the key or adapter was withdrawn, or
+    /// if its retries or the retry budget are exhausted.
     pub(super) fn retry_generation(
         &mut self,
         now: Time,
--- a/crates/core/src/instance/requests.rs
+++ b/crates/core/src/instance/requests.rs
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Ends a request whose key was withdrawn, or whose adapter or service is no longer available to
-    /// the workspace.
+    /// Ends a request whose key was withdrawn, or whose adapter or service is no longer available
+    /// to the workspace.
     pub(super) fn withdraw_request(&mut self, now: Time, id: RequestId) {
         let Some(active_request) = self.active_requests.get(&id) else {
             return;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decision cores of bluebellstage.
 //!
-//! Every decision is a plain state machine without sockets, clocks, randomness or tasks: time and
-//! seeds come in as arguments, actions go out as values of [`Action`]. [`Instance`] composes the
-//! cores into one whole instance; the daemon drives it with real clocks and networks, tests drive
-//! several of them in memory.
+//! Each core is a plain state machine without sockets, clocks, randomness or tasks: time and seeds
+//! are passed as arguments, and results are returned as values of [`Action`]. [`Instance`] composes
+//! the cores into one instance. The daemon drives it with real clocks and networks; tests drive
+//! several instances in memory.
 
 mod action;
 mod cx;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other; one variant per core.
+//! Messages between instances, with one variant per core.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,7 +10,7 @@
 
 /// A message between two instances.
 ///
-/// It may be lost, late, doubled or out of order; each core's protocol allows for that.
+/// Messages may be lost, delayed, duplicated or reordered; each core's protocol tolerates this.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum PeerMessage {
     /// Heartbeats and maps.
@@ -19,7 +19,7 @@
     Catalogue(CatalogueMessage),
     /// Shares of a workspace's rate.
     Rates(RatesMessage),
-    /// Permits of engines, and permits to load.
+    /// Permits for engines, and permits to load adapters.
     Engines(EnginesMessage),
     /// Calls that may not be repeated.
     Journal(JournalMessage),
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's object API and their answers, free of any transport.
+//! Calls to the platform's object API and their responses, independent of the transport.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,27 +6,27 @@
     CallId, Incarnation, InstanceId, ObjectName, ObjectVersion, TargetInfo, Time, WorkspaceId,
 };
 
-/// A call that the shell is to make.
+/// A platform call that the shell must make.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlatformCall {
-    /// Comes back with the answer.
+    /// Number of the call, returned with the response.
     pub id: CallId,
-    /// Which core asked, and what for; comes back with the answer.
+    /// The core that made the call and its purpose, returned with the response.
     pub purpose: PlatformPurpose,
-    /// What to do.
+    /// The operation.
     pub op: PlatformOp,
 }
 
-/// Which core a platform call belongs to.
+/// The purpose of a platform call, which identifies the core that made it.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum PlatformPurpose {
-    /// Membership reads the map, to know it and as proof of its standing.
+    /// Membership reads the map, to learn it and to renew its lease.
     MapRead,
     /// Membership changes the map.
     MapWrite,
     /// Membership reads the platform's lagging list of instances.
     InstanceList,
-    /// Engines and services: the lagging list of targets.
+    /// Engines and services read the platform's lagging list of targets.
     TargetList,
     /// The catalogue reads its head.
     CatalogueHead,
@@ -34,48 +34,48 @@
     CatalogueRead,
     /// The catalogue writes a log object, a snapshot page or its head.
     CatalogueWrite,
-    /// The journal of a workspace: taking it over or recording in it.
+    /// The journal of a workspace is taken over or written.
     Journal(WorkspaceId),
 }
 
-/// A call's content.
+/// The operation of a platform call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PlatformOp {
     /// Consistent read of one object.
     Get {
-        /// Which object.
+        /// Name of the object.
         name: ObjectName,
     },
     /// Conditional write of one object.
     Put {
-        /// Which object.
+        /// Name of the object.
         name: ObjectName,
-        /// The new value, at most a megabyte.
+        /// The new value, at most one megabyte.
         value: Box<str>,
-        /// Written only if the object is still in this state.
+        /// The state in which the object must be for the write to take effect.
         expected: Expected,
     },
-    /// Removes one object; one that is gone already counts as removed.
+    /// Removal of one object; succeeds if the object does not exist.
     Delete {
-        /// Which object.
+        /// Name of the object.
         name: ObjectName,
     },
-    /// The lagging list of our instances.
+    /// The platform's lagging list of instances.
     ListInstances,
-    /// The lagging list of targets.
+    /// The platform's lagging list of targets.
     ListTargets,
 }
 
-/// The state in which a conditional write must find its object.
+/// The expected state of an object in a conditional write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Expected {
-    /// Not there.
+    /// The object does not exist.
     Absent,
-    /// At this version.
+    /// The object is at this version.
     Version(ObjectVersion),
 }
 
-/// A value with the version under which the platform holds it.
+/// An object's value with its version at the platform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Versioned {
     /// The value.
@@ -84,47 +84,47 @@
     pub version: ObjectVersion,
 }
 
-/// What became of a call.
+/// The result of a platform call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PlatformReply {
-    /// A read's result; none where there is no such object.
+    /// The object read; `None` if it does not exist.
     Got(Option<Versioned>),
     /// The write took effect and gave the object this version.
     Written(ObjectVersion),
-    /// The object is removed.
+    /// The object was removed.
     Deleted,
     /// The object was not in the expected state; nothing was written.
     Conflict,
-    /// The platform refused or could not be reached before the call was sent; nothing was done.
+    /// The platform rejected the call or could not be reached before it was sent; nothing was done.
     Unavailable,
-    /// No answer: the call may or may not have taken effect.
+    /// No response was received: the call may or may not have taken effect.
     Unknown,
-    /// The lagging list of instances.
+    /// The platform's lagging list of instances.
     Instances(Vec<ListedInstance>),
-    /// The lagging list of targets.
+    /// The platform's lagging list of targets.
     Targets(Vec<TargetInfo>),
 }
 
-/// A reply with the call it answers.
+/// A reply with the identification of its call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlatformResponse {
     /// The call's number, unique within its purpose.
     pub id: CallId,
     /// The call's purpose.
     pub purpose: PlatformPurpose,
-    /// When the call was sent; proofs of standing count from here.
+    /// When the call was sent; a lease renewed by the call is counted from this time.
     pub sent_at: Time,
-    /// What became of it.
+    /// The result.
     pub reply: PlatformReply,
 }
 
-/// One of our instances as the platform's list shows it.
+/// An instance as shown in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ListedInstance {
-    /// Its name.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// Which of its lives.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// The platform is stopping it.
+    /// Whether the platform is stopping the instance.
     pub leaving: bool,
 }
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -1,78 +1,78 @@
-//! Refusals: what a caller gets instead of an answer.
+//! Refusals: the errors that callers receive instead of a response.
 
 use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether any of the request ran.
+/// Whether any part of the request ran.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// Provably nothing ran.
+    /// It is certain that nothing ran.
     No,
-    /// It may have run.
+    /// The request may have run, in part or completely.
     Unknown,
 }
 
-/// Why a request is refused.
+/// The reason for a refusal.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
-    /// No key came with it.
+    /// The request has no key.
     KeyMissing,
     /// The key is unknown or withdrawn.
     KeyRefused,
-    /// The adapter or service belongs to another workspace, or does not exist: the two are not told
-    /// apart, so that a caller can't probe for other workspaces' adapters.
+    /// The adapter or service does not exist or belongs to another workspace. The two cases are not
+    /// distinguished, so that a caller can't probe for other workspaces' adapters.
     NotFound,
-    /// The adapter exists, the version doesn't.
+    /// The adapter exists, but not in this version.
     VersionUnknown,
-    /// A call that may not be repeated came without an idempotency key.
+    /// A call that may not be repeated has no idempotency key.
     IdempotencyKeyMissing,
-    /// The request does not parse or lacks a field.
+    /// The request could not be parsed or lacks a field.
     Malformed,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The sender was too slow.
+    /// The caller sent the body too slowly.
     SenderTimeout,
-    /// The request needs more tokens than the workspace's whole burst, or than its entry allows.
+    /// The request needs more tokens than the workspace's full burst or its catalogue entry allows.
     NeverAdmissible,
-    /// The workspace is over its rate.
+    /// The workspace exceeds its rate.
     RateExceeded,
-    /// Its queue is full, or it waited its whole time.
+    /// The queue is full, or the request reached its maximum wait.
     Overloaded,
-    /// No target can run it.
+    /// No target can run the request.
     NoTarget,
-    /// This instance can't act now; another can.
+    /// This instance has no valid lease or catalogue; another instance may serve the request.
     NoStanding,
     /// The platform can't record the call that may not be repeated.
     PlatformUnavailable,
-    /// A call with this idempotency key is under way.
+    /// A call with this idempotency key is in progress.
     InProgress,
-    /// A call with this idempotency key started, and what became of it is not known.
+    /// A call with this idempotency key was started, and its outcome is unknown.
     InDoubt,
-    /// The idempotency key was used with another body.
+    /// The idempotency key was already used with another body.
     KeyReused,
-    /// The target broke off and the request can't be repeated.
+    /// The target failed, and the request can't be retried.
     TargetFailed,
     /// The instance is stopping.
     Stopping,
 }
 
-/// A refusal as the caller gets it.
+/// A refusal as sent to the caller.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub kind: RefusalKind,
-    /// Whether anything ran.
+    /// Whether any part of the request ran.
     pub ran: Ran,
-    /// When asking again may help; none when it can't.
+    /// Delay after which a retry may succeed; `None` if waiting does not help.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal of which nothing ran and which waiting can't mend.
+    /// Creates a refusal of a request that did not run, where waiting does not help.
     #[must_use]
     pub const fn not_run(kind: RefusalKind) -> Self {
         Self {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A refusal of which nothing ran, with the time after which to ask again.
+    /// Creates a refusal of a request that did not run, with a retry delay.
     #[must_use]
     pub const fn retry_after(kind: RefusalKind, span: Duration) -> Self {
         Self {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// A refusal of which it is not known whether anything ran.
+    /// Creates a refusal of a request that may have run.
     #[must_use]
     pub const fn unknown(kind: RefusalKind) -> Self {
         Self {
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, as far as decisions need them.
+//! The parts of callers' requests that the decision cores need.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,26 +7,26 @@
 /// A caller's request without its body.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallerRequest {
-    /// Digest of the key that came with it.
+    /// Digest of the key sent with the request.
     pub key: KeyDigest,
-    /// What it asks for.
+    /// The work requested.
     pub work: CallerWork,
 }
 
-/// What a request asks for.
+/// The work that a request asks for.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallerWork {
     /// A generation by an adapter.
     Generate {
-        /// Which adapter.
+        /// The adapter.
         adapter: AdapterId,
-        /// The version asked for; none for the catalogue's current one.
+        /// The requested version; `None` for the catalogue's current one.
         version: Option<AdapterVersion>,
-        /// Estimated prompt length.
+        /// Estimated prompt length, in tokens.
         prompt: Tokens,
-        /// The longest answer it accepts; none for the longest that the adapter gives.
+        /// Maximum response length; `None` for the maximum of the adapter.
         max_answer: Option<Tokens>,
-        /// Hash of the prompt's start, for prefix-cache affinity.
+        /// Hash of the start of the prompt, for prefix-cache affinity.
         prefix: u64,
     },
     /// A call to a plain service.
@@ -36,56 +36,56 @@
 /// A call to a plain service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceCall {
-    /// Which service.
+    /// The service.
     pub service: ServiceId,
-    /// Reading may be repeated; all else may not.
+    /// Whether the call may be repeated; true for reads only.
     pub idempotent: bool,
-    /// The caller's name for a call that may not be repeated.
+    /// Idempotency key of a call that may not be repeated.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// Hash of method, path and body: tells a repeat from another call under the same name.
+    /// Hash of method, path and body; distinguishes a retry from another call with the same key.
     pub fingerprint: u64,
 }
 
-/// How a dispatched request ended, as the shell saw it.
+/// The end of a dispatched request, as observed by the shell.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Finish {
-    /// The whole answer was delivered.
+    /// The complete response was delivered.
     Complete {
-        /// Tokens generated; zero for a service.
+        /// Number of tokens generated; zero for a service.
         answer: Tokens,
-        /// The answer to keep for repeats; only for a call that may not be repeated.
+        /// The response to store for retries; only for a call that may not be repeated.
         stored: Option<StoredResponse>,
     },
-    /// Nothing was sent, because it no longer may be.
+    /// Nothing was sent, because the request may no longer be sent.
     NotSent,
-    /// The target refused the connection before a byte was written: provably not run.
+    /// The target refused the connection before a byte was written, so the request did not run.
     Unreachable,
-    /// The target refused before running it.
+    /// The target rejected the request before running it.
     Rejected {
-        /// The target is on its way out.
+        /// Whether the target is shutting down.
         leaving: bool,
     },
-    /// The target no longer holds the adapter or holds another version.
+    /// The adapter is not resident at the target, or only in another version.
     WrongAdapter,
-    /// The answer broke off; so many tokens had been delivered.
+    /// The response was interrupted.
     Interrupted {
-        /// Tokens delivered before the break.
+        /// Number of tokens delivered before the interruption.
         delivered: Tokens,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone {
-        /// Tokens delivered before that.
+        /// Number of tokens delivered before the disconnect.
         delivered: Tokens,
     },
 }
 
-/// A service's answer, kept so that a repeat gets the same one.
+/// A service's response, stored so that a retry gets the same one.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct StoredResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// Value of the `Content-Type` header.
     pub content_type: Box<str>,
-    /// Body; none if it was too large to keep.
+    /// The body; `None` if it was too large to store.
     pub body: Option<Box<str>>,
 }
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -1,4 +1,4 @@
-//! Targets: engines and plain services, their reports and the orders they take.
+//! Targets: engines and plain services, their load reports, and the orders sent to them.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -11,12 +11,12 @@
     TargetId, Time,
 };
 
-/// An adapter at one version: what an engine holds in a slot.
+/// An adapter in one version, as loaded into a slot of an engine.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct AdapterRef {
-    /// Which adapter.
+    /// The adapter.
     pub id: AdapterId,
-    /// At which version.
+    /// Version of its weights.
     pub version: AdapterVersion,
 }
 
@@ -26,47 +26,47 @@
     }
 }
 
-/// What a target is.
+/// The kind of a target.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TargetKind {
     /// A model engine.
     Engine {
-        /// The base model it runs.
+        /// The base model that the engine runs.
         base_model: BaseModel,
-        /// How many adapters it holds at once.
+        /// Number of adapter slots.
         slots: u32,
-        /// How many requests it batches at once.
+        /// Maximum number of requests in a batch.
         max_batch: u32,
-        /// It refuses orders with an old fencing number.
+        /// Whether the engine refuses orders with an outdated fencing number.
         checks_fencing: bool,
     },
     /// One replica of a plain service.
     Service {
-        /// Which service.
+        /// The service.
         service: ServiceId,
-        /// How many calls it takes at once.
+        /// Maximum number of concurrent calls.
         concurrency: u32,
     },
 }
 
-/// A target as the platform's list shows it.
+/// A target as shown in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct TargetInfo {
-    /// Its name.
+    /// Name of the target.
     pub id: TargetId,
-    /// Where it listens.
+    /// The target's address.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Failure domain in which the target runs.
     pub failure_domain: FailureDomain,
-    /// What it is.
+    /// Kind of the target.
     pub kind: TargetKind,
-    /// It is on its way out: no new work.
+    /// Whether the target is shutting down and gets no new requests.
     pub leaving: bool,
 }
 
 impl TargetInfo {
-    /// The group whose home schedules this engine; none for a service.
+    /// Returns the group whose owner schedules this engine; `None` for a service.
     #[must_use]
     pub fn group(&self, grouping: Grouping) -> Option<GroupId> {
         let TargetKind::Engine { base_model, .. } = &self.kind else {
@@ -81,73 +81,73 @@
     }
 }
 
-/// An engine's own report of its load; it lags.
+/// An engine's report of its own load, which may be out of date.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct EngineReport {
-    /// Changes with each restart of the engine.
+    /// Number that changes with each restart of the engine.
     pub boot: u64,
-    /// Adapters in its slots.
+    /// Adapters in the engine's slots.
     pub resident: BTreeSet<AdapterRef>,
-    /// Adapters that running or queued requests use.
+    /// Adapters used by running or queued requests.
     pub in_use: BTreeSet<AdapterRef>,
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub running: u32,
-    /// Requests waiting inside the engine.
+    /// Number of requests queued inside the engine.
     pub waiting: u32,
-    /// Prompt tokens still to be prefilled.
+    /// Number of prompt tokens still to be prefilled.
     pub prefill_tokens: u64,
-    /// It is on its way out.
+    /// Whether the engine is shutting down.
     pub leaving: bool,
 }
 
-/// One order to one target, unique within a process.
+/// Number of an order to a target, unique within a process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct OrderId(pub u64);
 
-/// An order that the shell is to send to an engine.
+/// An order that the shell must send to an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetOrder {
-    /// Comes back with the outcome.
+    /// Number of the order, returned with the outcome.
     pub id: OrderId,
-    /// Which engine.
+    /// The engine.
     pub target: TargetId,
-    /// Where it listens.
+    /// The engine's address.
     pub address: SocketAddr,
-    /// The issuer's fencing number: the revision of the map under which it is home.
+    /// The issuer's fencing number: the revision of the map under which it is the owner.
     pub fencing: Fencing,
-    /// Not to be sent at or after this time.
+    /// Deadline: must not be sent at or after this time.
     ///
-    /// Guards against a process that is frozen between the decision and the send, while another
-    /// takes its engines over: an engine that ignores fencing numbers would then evict an adapter
-    /// in use. The issuer's standing ends at this time, and with it its right to order.
+    /// Guards against a process that is frozen between the decision and the send while another one
+    /// takes over its engines: an engine that ignores fencing numbers would then evict an adapter
+    /// in use. The issuer's lease expires at this time, and with it the right to send orders.
     pub send_before: Time,
-    /// What to do.
+    /// The operation.
     pub kind: TargetOrderKind,
 }
 
-/// What an order asks of an engine.
+/// The operation that an order requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TargetOrderKind {
     /// Load an adapter into a free slot.
     Load(AdapterRef),
     /// Free the slot of an adapter that is not in use.
     Unload(AdapterRef),
-    /// Report the load.
+    /// Report the engine's load.
     Report,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
-    /// Done.
+    /// The order was carried out.
     Done,
-    /// A report came back.
+    /// The engine sent a load report.
     Reported(EngineReport),
-    /// The engine refused: its fencing number is newer.
+    /// The engine refused the order, because it has seen a newer fencing number.
     Fenced,
-    /// The engine refused for another reason: no free slot, adapter in use, load failed.
+    /// The order failed for another reason: no free slot, adapter in use, or load failed.
     Failed,
-    /// No answer: it may or may not have been done.
+    /// No response was received: the order may or may not have been carried out.
     Unknown,
 }
--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -4,44 +4,44 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of the decision cores; the daemon fills them from its settings file.
+/// Settings of the decision cores, which the daemon reads from its settings file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Tuning {
-    /// Time between two heartbeats to one peer.
+    /// Interval of the heartbeats to each peer.
     pub heartbeat_interval: Duration,
-    /// A peer silent for this long is proposed to be dropped from the map.
+    /// Time without a heartbeat after which the removal of a peer from the map is proposed.
     pub suspect_after: Duration,
-    /// How long a proof of standing holds (T), counted from when its question was sent.
+    /// Duration of a lease (T), counted from when the request that renewed it was sent.
     pub lease_duration: Duration,
-    /// Bound on how much two clocks drift apart over one `standing`.
+    /// Maximum drift between two clocks over one `lease_duration`.
     pub max_clock_drift: Duration,
-    /// Time between two consistent reads of the map.
+    /// Interval of the consistent reads of the map.
     pub map_read_interval: Duration,
-    /// Time between two reads of the platform's lists.
+    /// Interval of the reads of the platform's lists.
     pub list_interval: Duration,
-    /// How long a caller may keep the answer of `/v1/entry`.
+    /// How long a caller may cache the response of `/v1/entry`.
     pub entry_max_age: Duration,
-    /// How engines are grouped under one home.
+    /// How engines are grouped under one owner.
     pub grouping: Grouping,
-    /// How a request finds its engine.
+    /// How an engine is selected for a request.
     pub placement: Placement,
-    /// In which order a group's queue is served.
+    /// The order in which a group's queue is served.
     pub queue: QueueOrder,
-    /// How a workspace's rate is spread over instances.
+    /// How a workspace's rate is divided among the instances.
     pub rates: RatePolicy,
-    /// How long a request may wait for its workspace's tokens to accrue or move.
+    /// Maximum time that a request waits until its workspace's tokens accrue or are moved here.
     pub max_rate_wait: Duration,
-    /// How long a request may wait for a permit.
+    /// Maximum time that a request waits for a permit or a service slot.
     pub max_queue_wait: Duration,
-    /// How long a granted permit may wait to be used.
+    /// Maximum time between the grant of a permit and its use.
     pub permit_start_timeout: Duration,
-    /// How long an outcome of a call that may not be repeated is kept.
+    /// How long the outcome of a call that may not be repeated is stored.
     pub outcome_retention: Duration,
-    /// Time between two load reports asked of an engine.
+    /// Interval of the load reports requested from an engine.
     pub report_interval: Duration,
-    /// Loads a second that the weight store allows.
+    /// Maximum number of adapter loads per second that the weight store permits.
     pub store_loads_per_second: u32,
-    /// Loads in flight that the weight store serves without slowing down.
+    /// Number of concurrent loads that the weight store serves without slowing down.
     pub store_in_flight: u32,
 }
 
@@ -70,50 +70,51 @@
     }
 }
 
-/// How engines are grouped under one home.
+/// How engines are grouped under one owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Grouping {
-    /// Each engine has a home of its own.
+    /// Each engine has a separate owner.
     Engine,
-    /// The engines of one base model in one failure domain share a home.
+    /// The engines of one base model in one failure domain share an owner.
     FailureDomain,
-    /// All engines of one base model share a home.
+    /// All engines of one base model share an owner.
     Pool,
 }
 
-/// How a request finds its engine.
+/// How an engine is selected for a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Placement {
-    /// Rendezvous order bounded by demand, resident engines first, then the shorter queue.
+    /// Rendezvous order bounded by demand; prefers engines with the adapter resident, then the
+    /// shorter queue.
     Affinity,
     /// Baseline: any engine.
     Random,
     /// Baseline: the engine with the least load.
     LeastLoaded,
-    /// Baseline: the first engine of the rendezvous order, always.
+    /// Baseline: always the first engine of the rendezvous order.
     HashOnly,
 }
 
-/// In which order a group's queue is served.
+/// The order in which a group's queue is served.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QueueOrder {
-    /// Urgent first, then fair between workspaces by tokens, with aging.
+    /// Urgent requests first, then fair queueing between workspaces by tokens, with aging.
     Fair,
     /// Baseline: first come, first served.
     FirstCome,
 }
 
-/// How a workspace's rate is spread over instances.
+/// How a workspace's rate is divided among the instances.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RatePolicy {
-    /// Shares lent by the workspace's home that follow demand.
+    /// The workspace's owner lends shares that follow demand.
     Shares,
-    /// Baseline: every active instance has the same share, for good.
+    /// Baseline: every active instance permanently has the same share.
     EvenSplit,
-    /// Baseline: every admission asks the workspace's home.
+    /// Baseline: every admission requires a request to the workspace's owner.
     RoundTrip,
 }
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -40,28 +40,28 @@
 number! {
     /// Version of an adapter's weights.
     AdapterVersion, "adapter version";
-    /// Number that rises with each change of an order's issuer; targets refuse older ones.
+    /// Number that increases with each change of an order's issuer; targets refuse older ones.
     Fencing, "fencing number";
-    /// Distinguishes the lives of one instance: each start draws a new one.
+    /// Distinguishes the restarts of one instance: each start chooses a new number.
     Incarnation, "incarnation";
-    /// Version of a platform object, as the platform counts it.
+    /// Version of a platform object, as assigned by the platform.
     ObjectVersion, "object version";
-    /// Tokens a second.
+    /// Tokens per second.
     Rate, "rate";
-    /// Revision of the map or of the catalogue; only grows.
+    /// Revision of the map or of the catalogue; never decreases.
     Revision, "revision";
     /// A count of tokens.
     Tokens, "tokens";
 }
 
 impl Revision {
-    /// Told in place of a catalogue revision by an instance that can't say whether its own is the
-    /// newest.
+    /// Reported in place of a catalogue revision by an instance that can't determine whether its
+    /// own is the newest.
     ///
-    /// No majority that proves a catalogue current may count such an instance.
+    /// Such an instance must not count towards a majority that confirms a catalogue as current.
     pub const UNCERTAIN: Self = Self(u64::MAX);
 
-    /// The revision after this one.
+    /// Returns the next revision.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
@@ -69,7 +69,7 @@
 }
 
 impl Tokens {
-    /// Difference, never below zero.
+    /// Returns the difference, or zero if `other` is greater.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
@@ -86,7 +86,7 @@
 
 /// A reading of a process's monotonic clock, in microseconds since an arbitrary start.
 ///
-/// Readings of two processes are never compared.
+/// Readings of different processes must not be compared.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
@@ -94,13 +94,13 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// Time passed since `earlier`; zero when `earlier` lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// A reading `millis` milliseconds after the start.
+    /// Returns the reading `millis` milliseconds after the start.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
