--- a/crates/core/examples/rates_slopes.rs
+++ b/crates/core/examples/rates_slopes.rs
@@ -113,7 +113,7 @@
         let mut out = Vec::new();
         let mut cx = Cx {
             now: self.now,
-            own: &node.own,
+            ownership: &node.own,
             out: &mut out,
         };
         let started_at = Instant::now();
--- a/crates/core/src/catalogue/compact.rs
+++ b/crates/core/src/catalogue/compact.rs
@@ -1,6 +1,6 @@
 //! Compaction: replaces log objects by a snapshot.
 
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{CallId, Expected, ObjectName, PlatformOp, PlatformReply};
 
 use super::core::KnownHead;
@@ -62,7 +62,7 @@
     }
 
     /// Handles the reply to a call. Returns the new head once it has been written.
-    pub(super) fn handle_reply(&mut self, answer: PlatformAnswer) -> Option<KnownHead> {
+    pub(super) fn handle_reply(&mut self, answer: PlatformResponse) -> Option<KnownHead> {
         self.call = None;
         let snapshot_write = self.snapshot_write.as_mut()?;
         match (answer.reply, snapshot_write.next_head.take()) {
--- a/crates/core/src/catalogue/core.rs
+++ b/crates/core/src/catalogue/core.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::membership::CatalogueQuorum;
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{
     Action, CallId, Cx, InstanceId, Notice, ObjectVersion, OwnershipKey, PeerMessage, PlatformCall,
     PlatformOp, PlatformPurpose, PlatformReply, Revision, Time,
@@ -102,7 +102,7 @@
         if self.is_loaded && self.uncertain_since.is_none() {
             self.state.revision
         } else {
-            Revision::UNSURE
+            Revision::UNCERTAIN
         }
     }
 
@@ -163,7 +163,7 @@
 
     /// Handles the reply to a platform call of purpose `CatalogueHead`, `CatalogueRead` or
     /// `CatalogueWrite`.
-    pub fn platform(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+    pub fn platform(&mut self, cx: &mut Cx<'_>, answer: PlatformResponse) {
         match answer.purpose {
             PlatformPurpose::CatalogueHead => self.handle_head(cx, &answer),
             PlatformPurpose::CatalogueRead => self.handle_read(cx, &answer),
@@ -186,7 +186,7 @@
         }
         self.fresh_until = self
             .fresh_until
-            .max(quorum.confirmed_at + cx.own.map.terms.lease_duration);
+            .max(quorum.confirmed_at + cx.ownership.map.terms.lease_duration);
     }
 
     fn read_if_due(&mut self, cx: &mut Cx<'_>) {
@@ -196,7 +196,8 @@
         let is_behind = !self.is_loaded
             || self.latest_known_revision > self.state.revision
             || self.uncertain_since.is_some();
-        let expires_soon = self.fresh_until.since(cx.now) < cx.own.map.terms.lease_duration / 2;
+        let expires_soon =
+            self.fresh_until.since(cx.now) < cx.ownership.map.terms.lease_duration / 2;
         if is_behind || expires_soon || self.writer.needs_head() {
             self.read_head(cx);
         }
@@ -210,12 +211,12 @@
         self.call(cx, PlatformPurpose::CatalogueHead, op);
     }
 
-    fn handle_head(&mut self, cx: &mut Cx<'_>, answer: &PlatformAnswer) {
+    fn handle_head(&mut self, cx: &mut Cx<'_>, answer: &PlatformResponse) {
         self.head_read_sent_at = None;
         let PlatformReply::Got(found) = &answer.reply else {
             self.next_read_at = cx.now + READ_RETRY_DELAY;
             if answer.reply == PlatformReply::Unavailable {
-                self.writer.head_unavailable(cx, answer.asked);
+                self.writer.head_unavailable(cx, answer.sent_at);
             }
             self.request_missing_changes(cx);
             return;
@@ -244,7 +245,7 @@
             return;
         }
         self.pending_proof = Some(Proof {
-            sent_at: answer.asked,
+            sent_at: answer.sent_at,
             revision: known.head.revision,
         });
         self.latest_known_revision = known.head.revision;
@@ -257,7 +258,7 @@
         self.execute_read_step(cx, step);
     }
 
-    fn handle_read(&mut self, cx: &mut Cx<'_>, answer: &PlatformAnswer) {
+    fn handle_read(&mut self, cx: &mut Cx<'_>, answer: &PlatformResponse) {
         let step = self.reader.handle_reply(answer, &mut self.state);
         self.execute_read_step(cx, step);
     }
@@ -293,7 +294,7 @@
         {
             self.fresh_until = self
                 .fresh_until
-                .max(proof.sent_at + cx.own.map.terms.lease_duration);
+                .max(proof.sent_at + cx.ownership.map.terms.lease_duration);
             if self
                 .uncertain_since
                 .is_some_and(|since| proof.sent_at >= since)
@@ -427,7 +428,7 @@
         self.announce_if_newer(cx);
     }
 
-    fn handle_write(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+    fn handle_write(&mut self, cx: &mut Cx<'_>, answer: PlatformResponse) {
         if self.compaction.is_awaiting(answer.id) {
             self.handle_compaction_write(cx, answer);
             return;
@@ -438,7 +439,7 @@
     }
 
     fn compact(&mut self, cx: &mut Cx<'_>) {
-        let can_compact = cx.own.may_act(cx.now, &OwnershipKey::Catalogue)
+        let can_compact = cx.ownership.may_act(cx.now, &OwnershipKey::Catalogue)
             && self.writer.len() == 0
             && !self.reader.is_busy();
         if !can_compact || self.head.head.revision != self.state.revision {
@@ -450,7 +451,7 @@
         }
     }
 
-    fn handle_compaction_write(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+    fn handle_compaction_write(&mut self, cx: &mut Cx<'_>, answer: PlatformResponse) {
         if let Some(head) = self.compaction.handle_reply(answer) {
             self.head = head;
         }
@@ -467,9 +468,9 @@
 }
 
 fn peers(cx: &Cx<'_>) -> Vec<InstanceId> {
-    let members = cx.own.map.members.iter();
+    let members = cx.ownership.map.members.iter();
     members
-        .filter(|member| member.id != cx.own.local.id)
+        .filter(|member| member.id != cx.ownership.local.id)
         .map(|member| member.id.clone())
         .collect()
 }
--- a/crates/core/src/catalogue/reader.rs
+++ b/crates/core/src/catalogue/reader.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{CallId, ObjectName, PlatformReply, Revision};
 
 use super::head::{Head, LogRef, SnapshotRef};
@@ -87,7 +87,7 @@
     /// Handles the reply to a read. Updates `state` to the head once all replies have arrived.
     pub(super) fn handle_reply(
         &mut self,
-        answer: &PlatformAnswer,
+        answer: &PlatformResponse,
         state: &mut CatalogueState,
     ) -> ReaderStep {
         let Some(object) = self.pending.remove(&answer.id) else {
--- a/crates/core/src/catalogue/writer.rs
+++ b/crates/core/src/catalogue/writer.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{Action, CallId, Cx, Expected, PlatformOp, PlatformReply, Revision, Time};
 
 use super::core::KnownHead;
@@ -179,7 +179,7 @@
     pub(super) fn handle_reply(
         &mut self,
         cx: &mut Cx<'_>,
-        answer: &PlatformAnswer,
+        answer: &PlatformResponse,
         known: &KnownHead,
     ) -> WriterStep {
         if self.call != Some(answer.id) {
@@ -292,8 +292,8 @@
     /// instances. The majority must be that of a map that was confirmed after the change was
     /// written; instances that join later read a head that contains the change.
     pub(super) fn complete_replicated(&mut self, cx: &mut Cx<'_>, majority_revision: Revision) {
-        let confirmed_at = cx.own.lease_expires_at - cx.own.map.terms.lease_duration;
-        let has_lease = cx.own.has_lease(cx.now);
+        let confirmed_at = cx.ownership.lease_expires_at - cx.ownership.map.terms.lease_duration;
+        let has_lease = cx.ownership.has_lease(cx.now);
         let mut completed = Vec::new();
         self.committed_changes.retain(|change| {
             let is_accepted = majority_revision >= change.revision
--- a/crates/core/src/journal/caller.rs
+++ b/crates/core/src/journal/caller.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::{Refusal, RefusalKind, RequestId, StoredAnswer, Time};
+use crate::{Refusal, RefusalKind, RequestId, StoredResponse, Time};
 
 use super::message::IntentReply;
 use super::{CallIntent, CallOutcome, JournalStep};
@@ -190,7 +190,7 @@
             let body = answer
                 .body
                 .filter(|body| body.len() <= MAX_STORED_BODY_BYTES);
-            CallOutcome::Answered(StoredAnswer { body, ..answer })
+            CallOutcome::Answered(StoredResponse { body, ..answer })
         }
         CallOutcome::NotRun | CallOutcome::Unknown => outcome,
     }
--- a/crates/core/src/journal/content.rs
+++ b/crates/core/src/journal/content.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    CoreError, IdempotencyKey, MemberRef, ObjectName, RequestId, ServiceId, StoredAnswer,
+    CoreError, IdempotencyKey, MemberRef, ObjectName, RequestId, ServiceId, StoredResponse,
     WorkspaceId,
 };
 
@@ -29,7 +29,7 @@
     /// Only the call's sender may send it.
     Intent,
     /// The call ran.
-    Answered(StoredAnswer),
+    Answered(StoredResponse),
     /// The sender can't tell whether the call ran.
     Unknown,
 }
--- a/crates/core/src/journal/core.rs
+++ b/crates/core/src/journal/core.rs
@@ -5,10 +5,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::platform::PlatformAnswer;
+use crate::platform::PlatformResponse;
 use crate::{
     Action, CallId, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, OwnershipKey, PeerMessage,
-    Refusal, RefusalKind, RequestId, Revision, ServiceId, StoredAnswer, Time, Tuning, WorkspaceId,
+    Refusal, RefusalKind, RequestId, Revision, ServiceId, StoredResponse, Time, Tuning,
+    WorkspaceId,
 };
 
 use super::JournalMessage;
@@ -40,7 +41,7 @@
         send_before: Time,
     },
     /// The call has already run: respond with the stored response.
-    Replay(StoredAnswer),
+    Replay(StoredResponse),
     /// The call is not sent.
     Refuse(Refusal),
 }
@@ -58,7 +59,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum CallOutcome {
     /// The service responded.
-    Answered(StoredAnswer),
+    Answered(StoredResponse),
     /// The call certainly did not run: its key may be used again.
     NotRun,
     /// The call may have run.
@@ -116,7 +117,7 @@
     pub fn record_intent(&mut self, cx: &mut Cx<'_>, intent: CallIntent) -> Vec<JournalDecision> {
         self.sync(cx);
         let request = intent.request;
-        if !cx.own.has_lease(cx.now) {
+        if !cx.ownership.has_lease(cx.now) {
             let refusal = Refusal::not_run(RefusalKind::NoStanding);
             let step = JournalStep::Refuse(refusal);
             return vec![JournalDecision { request, step }];
@@ -142,7 +143,7 @@
     }
 
     /// Handles the reply to a platform call of purpose `Journal`.
-    pub fn platform(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) -> Vec<JournalDecision> {
+    pub fn platform(&mut self, cx: &mut Cx<'_>, answer: PlatformResponse) -> Vec<JournalDecision> {
         self.sync(cx);
         self.handle_platform_reply(cx, answer);
         self.drain(cx)
@@ -202,12 +203,12 @@
     }
 
     fn sync(&mut self, cx: &mut Cx<'_>) {
-        if self.revision == Some(cx.own.revision()) {
+        if self.revision == Some(cx.ownership.revision()) {
             return;
         }
-        self.revision = Some(cx.own.revision());
+        self.revision = Some(cx.ownership.revision());
         self.members = cx
-            .own
+            .ownership
             .map
             .members
             .iter()
@@ -216,7 +217,7 @@
         // Drops the journals that this instance no longer owns. Senders repeat unconfirmed requests
         // to the new owner.
         self.journals
-            .retain(|id, _journal| cx.own.is_owner(&OwnershipKey::Workspace(id.clone())));
+            .retain(|id, _journal| cx.ownership.is_owner(&OwnershipKey::Workspace(id.clone())));
         self.busy.retain(|id| self.journals.contains_key(id));
         for call in self.calls.values_mut() {
             call.resend_now(cx.now);
@@ -241,13 +242,13 @@
             return;
         };
         let key = OwnershipKey::Workspace(call.intent.workspace.clone());
-        let Some(owner) = cx.own.owner(&key).cloned() else {
+        let Some(owner) = cx.ownership.owner(&key).cloned() else {
             return;
         };
         let message = match call.next_message(cx.now) {
             CallMessage::None => return,
             CallMessage::RecordIntent => JournalMessage::RecordIntent {
-                sender: cx.own.local.clone(),
+                sender: cx.ownership.local.clone(),
                 intent: call.intent.clone(),
             },
             CallMessage::RecordOutcome(outcome) => JournalMessage::RecordOutcome {
@@ -261,7 +262,7 @@
     }
 
     pub(super) fn send(&mut self, cx: &mut Cx<'_>, to: &InstanceId, message: JournalMessage) {
-        if *to == cx.own.local.id {
+        if *to == cx.ownership.local.id {
             self.inbox.push_back(message);
             return;
         }
@@ -273,7 +274,7 @@
 
     fn drain(&mut self, cx: &mut Cx<'_>) -> Vec<JournalDecision> {
         let mut decisions = Vec::new();
-        let local_id = cx.own.local.id.clone();
+        let local_id = cx.ownership.local.id.clone();
         while let Some(message) = self.inbox.pop_front() {
             self.dispatch(cx, &local_id, message, &mut decisions);
         }
--- a/crates/core/src/journal/message.rs
+++ b/crates/core/src/journal/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{IdempotencyKey, MemberRef, RequestId, StoredAnswer, WorkspaceId};
+use crate::{IdempotencyKey, MemberRef, RequestId, StoredResponse, WorkspaceId};
 
 use super::{CallIntent, CallOutcome};
 
@@ -51,7 +51,7 @@
     /// The intent is recorded: send the call, once.
     Send,
     /// The call has already run; the stored response is enclosed.
-    Replay(StoredAnswer),
+    Replay(StoredResponse),
     /// A call with this key is in progress.
     InProgress,
     /// The platform can't store the intent now; the owner keeps retrying.
--- a/crates/core/src/journal/owner.rs
+++ b/crates/core/src/journal/owner.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::platform::{Expected, PlatformAnswer};
+use crate::platform::{Expected, PlatformResponse};
 use crate::{
     Action, CallId, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, ObjectName, OwnershipKey,
     PlatformCall, PlatformOp, PlatformPurpose, RequestId, Time, WorkspaceId,
@@ -108,7 +108,7 @@
 
     fn enqueue(&mut self, cx: &mut Cx<'_>, workspace: &WorkspaceId, item: Item) {
         if !cx
-            .own
+            .ownership
             .may_act(cx.now, &OwnershipKey::Workspace(workspace.clone()))
         {
             return;
@@ -119,7 +119,7 @@
     }
 
     /// Handles a platform reply and advances the journal that made the call.
-    pub(super) fn handle_platform_reply(&mut self, cx: &mut Cx<'_>, answer: PlatformAnswer) {
+    pub(super) fn handle_platform_reply(&mut self, cx: &mut Cx<'_>, answer: PlatformResponse) {
         let PlatformPurpose::Journal(workspace) = answer.purpose else {
             return;
         };
@@ -198,7 +198,7 @@
         workspace: &WorkspaceId,
         key: &OwnershipKey,
     ) -> Option<PageName> {
-        if !cx.own.may_act(cx.now, key) {
+        if !cx.ownership.may_act(cx.now, key) {
             return None;
         }
         let mut pages = self.journals.get(workspace)?.pages.iter();
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decision cores of bluebellstage.
 //!
-//! Every decision is a plain state machine without sockets, clocks, randomness or tasks: time and
-//! seeds come in as arguments, actions go out as values of [`Action`]. [`Instance`] composes the
-//! cores into one whole instance; the daemon drives it with real clocks and networks, tests drive
-//! several of them in memory.
+//! Each core is a plain state machine without sockets, clocks, randomness or tasks: time and seeds
+//! are passed as arguments, and results are returned as values of [`Action`]. [`Instance`] composes
+//! the cores into one instance. The daemon drives it with real clocks and networks; tests drive
+//! several instances in memory.
 
 mod action;
 mod cx;
@@ -37,17 +37,17 @@
     AdapterId, BaseModel, CallId, ChangeId, FailureDomain, GroupId, IdempotencyKey, InstanceId,
     KeyId, ObjectName, RequestId, ServiceId, TargetId, WorkspaceId,
 };
-pub use self::instance::{EntryAnswer, Instance, Status};
+pub use self::instance::{EntryResponse, Instance, Status};
 pub use self::keys::KeyDigest;
 pub use self::map::{Map, Member, MemberRef, MemberState, OwnershipKey, PastMap, Terms};
 pub use self::message::PeerMessage;
 pub use self::ownership::{Adoption, Ownership};
 pub use self::platform::{
-    Expected, ListedInstance, PlatformAnswer, PlatformCall, PlatformOp, PlatformPurpose,
-    PlatformReply, Versioned,
+    Expected, ListedInstance, PlatformCall, PlatformOp, PlatformPurpose, PlatformReply,
+    PlatformResponse, Versioned,
 };
 pub use self::refusal::{Ran, Refusal, RefusalKind};
-pub use self::request::{CallerRequest, CallerWork, Finish, ServiceCall, StoredAnswer};
+pub use self::request::{CallerRequest, CallerWork, Finish, ServiceCall, StoredResponse};
 pub use self::target::{
     AdapterRef, EngineReport, OrderId, OrderOutcome, TargetInfo, TargetKind, TargetOrder,
     TargetOrderKind,
--- a/crates/core/src/rates/borrower.rs
+++ b/crates/core/src/rates/borrower.rs
@@ -53,7 +53,7 @@
         let Some(owner) = self.owner.clone() else {
             return;
         };
-        if cx.now < self.next_request_at || !cx.own.has_lease(cx.now) {
+        if cx.now < self.next_request_at || !cx.ownership.has_lease(cx.now) {
             return;
         }
         self.next_request_at = cx.now + BORROW_REQUEST_INTERVAL;
--- a/crates/core/src/rates/core.rs
+++ b/crates/core/src/rates/core.rs
@@ -61,7 +61,7 @@
     pub fn new(cfg: &Tuning) -> Self {
         Self {
             policy: cfg.rates,
-            max_wait: cfg.rate_patience,
+            max_wait: cfg.max_rate_wait,
             revision_state: RevisionState::default(),
             workspaces: BTreeMap::new(),
             busy: BTreeSet::new(),
@@ -82,7 +82,7 @@
         if charge > limits.burst {
             return RateStep::Refused(Refusal::not_run(RefusalKind::NeverAdmissible));
         }
-        if !cx.own.has_lease(cx.now) {
+        if !cx.ownership.has_lease(cx.now) {
             return RateStep::Refused(Refusal::not_run(RefusalKind::NoStanding));
         }
         self.apply_limits(cx, workspace, Some(limits));
@@ -154,8 +154,8 @@
         // A message of another revision comes from another incarnation of owner or borrower, or
         // refers to loans that were recounted since. Applying it would create a share held by two
         // instances. The sender repeats it when both ends are at the same map revision.
-        let is_current = message.revision == cx.own.revision();
-        if !is_current || !cx.own.is_member() || cx.own.map.member(from).is_none() {
+        let is_current = message.revision == cx.ownership.revision();
+        if !is_current || !cx.ownership.is_member() || cx.ownership.map.member(from).is_none() {
             return Vec::new();
         }
         match message.body {
@@ -177,7 +177,7 @@
     pub fn tick(&mut self, cx: &mut Cx<'_>) -> Vec<RateDecision> {
         self.sync(cx);
         self.send_holdings(cx);
-        if is_leaving(cx.own) {
+        if is_leaving(cx.ownership) {
             self.return_all_shares(cx);
         }
         let mut decisions = Vec::new();
@@ -294,7 +294,7 @@
     }
 
     fn return_all_shares(&mut self, cx: &mut Cx<'_>) {
-        if self.policy != RatePolicy::Shares || !cx.own.has_lease(cx.now) {
+        if self.policy != RatePolicy::Shares || !cx.ownership.has_lease(cx.now) {
             return;
         }
         for entry in self.workspaces.values_mut() {
--- a/crates/core/src/rates/revision_state.rs
+++ b/crates/core/src/rates/revision_state.rs
@@ -59,7 +59,7 @@
 impl Rates {
     /// Follows the map in force.
     pub(super) fn sync(&mut self, cx: &mut Cx<'_>) {
-        if self.revision_state.revision != Some(cx.own.revision()) {
+        if self.revision_state.revision != Some(cx.ownership.revision()) {
             self.adopt_revision(cx);
         }
         self.reconcile(cx);
@@ -68,15 +68,19 @@
     /// Recounts shares under the map in force and reports the holdings of this instance to the
     /// owners of their workspaces.
     fn adopt_revision(&mut self, cx: &mut Cx<'_>) {
-        if !self.was_member_throughout(cx.own) {
+        if !self.was_member_throughout(cx.ownership) {
             self.clear_buckets();
         }
-        let peers = cx.own.map.active().filter(|id| **id != cx.own.local.id);
-        let had_owner = self.may_have_had_owner(cx.own);
+        let peers = cx
+            .ownership
+            .map
+            .active()
+            .filter(|id| **id != cx.ownership.local.id);
+        let had_owner = self.may_have_had_owner(cx.ownership);
         self.revision_state = RevisionState {
             had_owner,
-            has_owner: cx.own.map.active().next().is_some(),
-            revision: Some(cx.own.revision()),
+            has_owner: cx.ownership.map.active().next().is_some(),
+            revision: Some(cx.ownership.revision()),
             reported_by: BTreeSet::new(),
             unacknowledged: peers.map(|id| (id.clone(), cx.now)).collect(),
             is_reconciled: false,
@@ -93,7 +97,7 @@
 
     /// Sends holdings to the owners that have not acknowledged them yet.
     pub(super) fn send_holdings(&mut self, cx: &mut Cx<'_>) {
-        if self.policy == RatePolicy::EvenSplit || !cx.own.is_member() {
+        if self.policy == RatePolicy::EvenSplit || !cx.ownership.is_member() {
             return;
         }
         let is_due = |(_peer, due): &(&InstanceId, &Time)| cx.now >= **due;
@@ -106,7 +110,7 @@
             .collect();
         for peer in peers {
             let message = RatesMessage {
-                revision: cx.own.revision(),
+                revision: cx.ownership.revision(),
                 body: RatesBody::Holdings(self.holdings_for(cx, &peer)),
             };
             message.send(cx, &peer);
@@ -135,7 +139,7 @@
             self.reconcile(cx);
         }
         let message = RatesMessage {
-            revision: cx.own.revision(),
+            revision: cx.ownership.revision(),
             body: RatesBody::HoldingsAcknowledged,
         };
         message.send(cx, from);
@@ -170,8 +174,9 @@
         if self.revision_state.is_reconciled || self.policy == RatePolicy::EvenSplit {
             return;
         }
-        let is_complete = cx.own.is_member() && self.revision_state.has_all_reports(cx.own);
-        if !is_complete || !departed_leases_have_expired(cx.own, cx.now) {
+        let is_complete =
+            cx.ownership.is_member() && self.revision_state.has_all_reports(cx.ownership);
+        if !is_complete || !departed_leases_have_expired(cx.ownership, cx.now) {
             return;
         }
         self.revision_state.is_reconciled = true;
@@ -264,8 +269,13 @@
 // Baseline policy: a constant, equal share for each active instance. It relies on all instances
 // being at the same map, so it enforces the limits less strictly than lent shares do.
 fn apply_even_share(cx: &Cx<'_>, entry: &mut Workspace, had_owner: bool) {
-    let active = cx.own.map.active().count() as u128;
-    let is_active = cx.own.map.active().any(|id| *id == cx.own.local.id) && cx.own.is_member();
+    let active = cx.ownership.map.active().count() as u128;
+    let is_active = cx
+        .ownership
+        .map
+        .active()
+        .any(|id| *id == cx.ownership.local.id)
+        && cx.ownership.is_member();
     let even_share = if is_active {
         Share::fraction(1, active)
     } else {
--- a/crates/core/src/rates/workspace.rs
+++ b/crates/core/src/rates/workspace.rs
@@ -100,7 +100,7 @@
 
     /// Whether this instance may act as the owner now.
     pub fn is_acting_owner(&self, cx: &Cx<'_>) -> bool {
-        self.lending.is_some() && cx.own.may_act(cx.now, &self.key())
+        self.lending.is_some() && cx.ownership.may_act(cx.now, &self.key())
     }
 
     /// Whether the workspace needs work on the next tick.
@@ -114,13 +114,13 @@
 
     /// Resets the state for a new map revision. Pending transfers of the old revision are void.
     pub fn reset_for_revision(&mut self, cx: &Cx<'_>) {
-        self.owner = cx.own.owner(&self.key()).cloned();
+        self.owner = cx.ownership.owner(&self.key()).cloned();
         self.channel = Channel::default();
         self.next_request_at = cx.now;
         self.denied_until = cx.now;
         self.is_unspent = false;
         self.is_reconciled = false;
-        let is_owner = self.owner.as_ref() == Some(&cx.own.local.id);
+        let is_owner = self.owner.as_ref() == Some(&cx.ownership.local.id);
         self.lending = is_owner.then(Box::default);
     }
 
@@ -224,13 +224,13 @@
         }
         // Without a lease, the share may already be lent to other instances, and spending it would
         // exceed the rate. The lease is therefore checked immediately before the charge.
-        if cx.own.has_lease(cx.now) && self.bucket.try_spend(cx.now, head.charge) {
+        if cx.ownership.has_lease(cx.now) && self.bucket.try_spend(cx.now, head.charge) {
             return Some(Ok(()));
         }
         if cx.now < head.arrived_at + self.current_max_wait(cx.now, max_wait) {
             return None;
         }
-        if !cx.own.has_lease(cx.now) {
+        if !cx.ownership.has_lease(cx.now) {
             return Some(Err(Refusal::not_run(RefusalKind::NoStanding)));
         }
         Some(Err(self.refusal(cx.now, head.charge)))
@@ -279,7 +279,7 @@
             return Share::fraction(demand, total_demand);
         }
         let unused = rate - total_demand;
-        let members = cx.own.map.members.len().max(1) as u128;
+        let members = cx.ownership.map.members.len().max(1) as u128;
         let even = unused / (2 * members);
         let by_demand = (unused * demand)
             .checked_div(2 * total_demand)
@@ -329,7 +329,7 @@
     /// Sends a message about this workspace to another instance.
     pub fn send(&self, cx: &mut Cx<'_>, to: &InstanceId, item: ShareItem) {
         let message = RatesMessage {
-            revision: cx.own.revision(),
+            revision: cx.ownership.revision(),
             body: RatesBody::Workspace {
                 workspace: self.id.clone(),
                 item,
--- a/crates/core/tests/catalogue_order.rs
+++ b/crates/core/tests/catalogue_order.rs
@@ -6,8 +6,8 @@
 use bluebellstage_core::catalogue::{ApplyOutcome, Change, ChangeRequest, WorkspaceEntry};
 use bluebellstage_core::{
     Action, Event, Expected, Incarnation, Instance, Member, MemberState, ObjectVersion,
-    PlatformAnswer, PlatformCall, PlatformOp, PlatformReply, Rate, Revision, Time, Tokens, Tuning,
-    Versioned,
+    PlatformCall, PlatformOp, PlatformReply, PlatformResponse, Rate, Revision, Time, Tokens,
+    Tuning, Versioned,
 };
 
 const HEAD: &str = "catalogue-head";
@@ -19,7 +19,7 @@
     objects: BTreeMap<String, Versioned>,
     version: u64,
     delays_head_writes: bool,
-    delayed_replies: Vec<PlatformAnswer>,
+    delayed_replies: Vec<PlatformResponse>,
     outcomes: Vec<ApplyOutcome>,
 }
 
@@ -69,10 +69,10 @@
     fn call(&mut self, sent_at: Time, call: PlatformCall) {
         let is_head_write =
             matches!(&call.op, PlatformOp::Put { name, .. } if name.as_str() == HEAD);
-        let answer = PlatformAnswer {
+        let answer = PlatformResponse {
             id: call.id,
             purpose: call.purpose,
-            asked: sent_at,
+            sent_at,
             reply: self.execute(call.op),
         };
         if is_head_write && self.delays_head_writes {
@@ -142,7 +142,7 @@
     harness.delays_head_writes = true;
     harness.change(1);
     assert_eq!(harness.delayed_replies.len(), 1);
-    harness.step(Event::PlatformChanged(HEAD.parse().unwrap()));
+    harness.step(Event::ObjectChanged(HEAD.parse().unwrap()));
     harness.run_for(500);
     harness.delays_head_writes = false;
     let answer = harness.delayed_replies.remove(0);
--- a/crates/core/tests/rates.rs
+++ b/crates/core/tests/rates.rs
@@ -246,7 +246,7 @@
     let mut out = Vec::new();
     let mut cx = Cx {
         now: member.local(0),
-        own: &member.own,
+        ownership: &member.own,
         out: &mut out,
     };
     let mut rates = Rates::new(&Tuning::default());
@@ -310,7 +310,7 @@
     let mut step = |now: u64, member: &SimulatedMember, rates: &mut Rates, request: u128| {
         let mut cx = Cx {
             now: member.local(now),
-            own: &member.own,
+            ownership: &member.own,
             out: &mut out,
         };
         let limits = limits(1_000, 10_000);
@@ -331,7 +331,7 @@
     step(1_000_000, &member, &mut rates, 2);
     let mut cx = Cx {
         now: member.local(1_000_000),
-        own: &member.own,
+        ownership: &member.own,
         out: &mut Vec::new(),
     };
     let decisions = rates.tick(&mut cx);
--- a/crates/core/tests/support/journal_fleet.rs
+++ b/crates/core/tests/support/journal_fleet.rs
@@ -7,7 +7,7 @@
     CallIntent, CallOutcome, Journal, JournalDecision, JournalMessage, JournalStep,
 };
 use bluebellstage_core::{
-    Action, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, PeerMessage, PlatformAnswer, Ran,
+    Action, Cx, IdempotencyKey, InstanceId, MemberRef, Notice, PeerMessage, PlatformResponse, Ran,
     Refusal, RequestId, Time, Tuning, WorkspaceId,
 };
 use rand::{Rng, SeedableRng};
@@ -51,7 +51,7 @@
     nodes: BTreeMap<InstanceId, Node>,
     script: MembershipScript,
     messages_in_flight: Vec<MessageInFlight>,
-    platform_replies: Vec<(MemberRef, PlatformAnswer)>,
+    platform_replies: Vec<(MemberRef, PlatformResponse)>,
     dispatches: Vec<Dispatch>,
     running: Vec<Running>,
     pub platform: Platform<MemberRef>,
@@ -374,7 +374,7 @@
         let mut out = Vec::new();
         let mut cx = Cx {
             now: local_time,
-            own: &node.seat.own,
+            ownership: &node.seat.own,
             out: &mut out,
         };
         let result = act(&mut node.journal, &mut cx);
--- a/crates/core/tests/support/journal_platform.rs
+++ b/crates/core/tests/support/journal_platform.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bluebellstage_core::{
-    Expected, ObjectName, ObjectVersion, PlatformAnswer, PlatformCall, PlatformOp, PlatformReply,
+    Expected, ObjectName, ObjectVersion, PlatformCall, PlatformOp, PlatformReply, PlatformResponse,
     Time, Versioned,
 };
 use rand::Rng;
@@ -94,7 +94,7 @@
     }
 
     /// Executes the calls that are due, and returns the replies that are due.
-    pub fn run(&mut self, now: u64) -> Vec<(C, PlatformAnswer)>
+    pub fn run(&mut self, now: u64) -> Vec<(C, PlatformResponse)>
     where
         C: Clone,
     {
@@ -176,16 +176,16 @@
     }
 }
 
-fn reply_to<C>(pending_call: &PendingCall<C>) -> PlatformAnswer {
+fn reply_to<C>(pending_call: &PendingCall<C>) -> PlatformResponse {
     let reply = match &pending_call.reply {
         _ if pending_call.is_lost => PlatformReply::Unknown,
         None => PlatformReply::Unavailable,
         Some(reply) => reply.clone(),
     };
-    PlatformAnswer {
+    PlatformResponse {
         id: pending_call.call.id,
         purpose: pending_call.call.purpose.clone(),
-        asked: pending_call.sent_at,
+        sent_at: pending_call.sent_at,
         reply,
     }
 }
--- a/crates/core/tests/support/journal_service.rs
+++ b/crates/core/tests/support/journal_service.rs
@@ -1,7 +1,7 @@
 //! A simulated plain service whose calls may not be repeated.
 
 use bluebellstage_core::journal::{CallIntent, CallOutcome, JournalStep};
-use bluebellstage_core::{MemberRef, Refusal, RefusalKind, RequestId, StoredAnswer};
+use bluebellstage_core::{MemberRef, Refusal, RefusalKind, RequestId, StoredResponse};
 
 /// How the simulated service handles a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -33,8 +33,8 @@
 }
 
 /// Returns the service's response to a request.
-pub fn stored_response(request: RequestId, bytes: usize) -> StoredAnswer {
-    StoredAnswer {
+pub fn stored_response(request: RequestId, bytes: usize) -> StoredResponse {
+    StoredResponse {
         status: 200,
         content_type: "text/plain".into(),
         body: Some(format!("{:<bytes$}", request.to_string()).into()),
--- a/crates/core/tests/support/rates_fleet.rs
+++ b/crates/core/tests/support/rates_fleet.rs
@@ -373,7 +373,7 @@
         let mut out = Vec::new();
         let mut cx = Cx {
             now: node.member.local(self.now),
-            own: &node.member.own,
+            ownership: &node.member.own,
             out: &mut out,
         };
         let result = apply(&mut node.rates, &mut cx);
--- a/crates/core/tests/support/rates_membership.rs
+++ b/crates/core/tests/support/rates_membership.rs
@@ -62,8 +62,8 @@
                 history: Vec::new(),
             },
             changed_at: now,
-            lease: cfg.standing,
-            drift: cfg.drift,
+            lease: cfg.lease_duration,
+            drift: cfg.max_clock_drift,
         }
     }
 
