--- a/crates/gateway/src/net/crash_check.rs
+++ b/crates/gateway/src/net/crash_check.rs
@@ -126,12 +126,12 @@
 pub(super) async fn record_interruption<E: Edge>(
     node: &Arc<Node<E>>,
     target: &TargetId,
-    record_interruption: InterruptedRun,
+    run: InterruptedRun,
 ) {
     let Some(target) = serving(node, target) else {
         return;
     };
-    let mut result = join(node, &target, record_interruption);
+    let mut result = join(node, &target, run);
     if *result.borrow() == CheckResult::Evaluated {
         report(node, &target);
     }
@@ -139,12 +139,7 @@
     // evaluation.
     let waits = |result: &CheckResult| match result {
         CheckResult::Pending => true,
-        CheckResult::Crashed => {
-            node.tables()
-                .quarantine
-                .crash_count(record_interruption.request)
-                > 1
-        }
+        CheckResult::Crashed => node.tables().quarantine.crash_count(run.request) > 1,
         CheckResult::Evaluated | CheckResult::Alive => false,
     };
     let known = result.wait_for(|result| !waits(result));
@@ -155,7 +150,7 @@
 fn join<E: Edge>(
     node: &Arc<Node<E>>,
     target: &Serving,
-    record_interruption: InterruptedRun,
+    run: InterruptedRun,
 ) -> watch::Receiver<CheckResult> {
     let mut open = node.crash_checks.lock();
     let started = node.now();
@@ -167,7 +162,7 @@
             result: watch::Sender::new(CheckResult::Pending),
         }
     });
-    entry.interrupted_runs.push(record_interruption);
+    entry.interrupted_runs.push(run);
     entry.result.subscribe()
 }
 
@@ -186,7 +181,7 @@
     interrupted_runs.extend(report(&node, &target));
     let requests = interrupted_runs
         .iter()
-        .map(|record_interruption| record_interruption.request)
+        .map(|run| run.request)
         .collect::<Vec<_>>();
     quarantine::evaluate(&node, &target.id, &requests);
     node.crash_checks
@@ -207,12 +202,7 @@
         return Vec::new();
     };
     let named = interrupted_runs.iter().take(MAX_LOGGED_FINGERPRINTS);
-    let named = named.map(|record_interruption| {
-        format!(
-            "{}:{}",
-            record_interruption.request, record_interruption.run_ms
-        )
-    });
+    let named = named.map(|run| format!("{}:{}", run.request, run.run_ms));
     let requests = named.collect::<Vec<_>>().join(" ");
     let [id, count] = [target.id.to_string(), interrupted_runs.len().to_string()];
     event(
