--- a/crates/core/src/instance/core.rs
+++ b/crates/core/src/instance/core.rs
@@ -175,7 +175,7 @@
         match event {
             Event::Tick => self.tick(now),
             Event::Message { from, message } => self.handle_message(now, &from, *message),
-            Event::Platform(answer) => self.handle_platform_response(now, answer),
+            Event::Platform(response) => self.handle_platform_response(now, response),
             Event::ObjectChanged(name) => self.handle_object_change(now, &name),
             Event::OrderEnded {
                 id,
@@ -250,23 +250,23 @@
         }
     }
 
-    fn handle_platform_response(&mut self, now: Time, answer: PlatformResponse) {
-        match &answer.purpose {
+    fn handle_platform_response(&mut self, now: Time, response: PlatformResponse) {
+        match &response.purpose {
             PlatformPurpose::MapRead
             | PlatformPurpose::MapWrite
             | PlatformPurpose::InstanceList => {
-                self.membership.platform(now, answer, &mut self.out);
+                self.membership.platform(now, response, &mut self.out);
             }
             PlatformPurpose::CatalogueHead
             | PlatformPurpose::CatalogueRead
             | PlatformPurpose::CatalogueWrite => {
-                self.catalogue.platform(cx!(self, now), answer);
+                self.catalogue.platform(cx!(self, now), response);
             }
             PlatformPurpose::Journal(_) => {
-                let decisions = self.journal.platform(cx!(self, now), answer);
+                let decisions = self.journal.platform(cx!(self, now), response);
                 self.queue_decisions(decisions);
             }
-            PlatformPurpose::TargetList => self.set_targets(now, answer.reply),
+            PlatformPurpose::TargetList => self.set_targets(now, response.reply),
         }
     }
 
--- a/crates/core/src/instance/dispatch.rs
+++ b/crates/core/src/instance/dispatch.rs
@@ -124,7 +124,7 @@
                         .finished(cx!(self, now), id, CallOutcome::NotRun);
                 }
             }
-            (JournalStep::Replay(answer), Some(_slot)) => self.replay_response(now, id, answer),
+            (JournalStep::Replay(response), Some(_slot)) => self.replay_response(now, id, response),
             (JournalStep::Refuse(refusal), Some(_slot)) => {
                 self.release_slot(now, id, SlotEnd::NoFault);
                 self.refuse_charged(now, id, refusal);
@@ -148,7 +148,7 @@
         }
     }
 
-    pub(super) fn replay_response(&mut self, now: Time, id: RequestId, answer: StoredResponse) {
+    pub(super) fn replay_response(&mut self, now: Time, id: RequestId, response: StoredResponse) {
         self.release_slot(now, id, SlotEnd::NoFault);
         if let Some(active_request) = self.active_requests.remove(&id) {
             self.rates.give_back(
@@ -159,7 +159,7 @@
         }
         self.out.push(Action::Request {
             id,
-            action: RequestAction::Replay(answer),
+            action: RequestAction::Replay(response),
         });
     }
 }
